--- a/fuzz/platform_fuzz.cpp
+++ b/fuzz/platform_fuzz.cpp
@@ -37,7 +37,7 @@
     }
     const auto d = fronts::http::decodeRequest(parser.head(), known);
     if (d.status) {
-        if (d.status < 400 || d.status > 499 || d.words.empty()) std::abort();
+        if (d.status < 400 || d.status > 499 || d.error.empty()) std::abort();
         return;
     }
     const auto& w = d.work;
--- a/src/fronts/http/decode_request.cpp
+++ b/src/fronts/http/decode_request.cpp
@@ -96,7 +96,7 @@
     if (seen != 15) throw wrong;
 }
 
-void read(const wire::http::Head& head, const Settings& settings, Decoded& out) {
+void read(const wire::http::Head& head, const Settings& settings, DecodedRequest& out) {
     auto& work = out.work;
     if (head.method != "GET" && head.method != "PUT") throw Wrong{"method: GET or PUT is wanted", 405};
     needed(head, "Host");
@@ -149,13 +149,13 @@
 
 }  // namespace
 
-Decoded decodeRequest(const wire::http::Head& head, const Settings& settings) {
-    Decoded out;
+DecodedRequest decodeRequest(const wire::http::Head& head, const Settings& settings) {
+    DecodedRequest out;
     try {
         read(head, settings, out);
     } catch (const Wrong& wrong) {
         out.status = wrong.status;
-        out.words = wrong.words;
+        out.error = wrong.words;
         return out;
     }
     auto exchange = std::make_shared<host::Exchange>();
--- a/src/fronts/http/decode_request.hpp
+++ b/src/fronts/http/decode_request.hpp
@@ -10,9 +10,9 @@
 
 namespace spokewheel::fronts::http {
 
-struct Decoded {
+struct DecodedRequest {
     int status = 0;     // 0: it can be worked on; else a 4xx, with `words` for people
-    std::string words;  // what is wrong, naming the field
+    std::string error;  // what is wrong, naming the field
     std::string id;     // X-Request-ID as it came
     host::Work work;    // the exchange has no body yet; arrivedMs is not set
 };
@@ -23,6 +23,6 @@
 
 // Checks all that would make two readers disagree, and that class, plan and figures are ones the settings
 // know.
-Decoded decodeRequest(const wire::http::Head& head, const Settings& settings);
+DecodedRequest decodeRequest(const wire::http::Head& head, const Settings& settings);
 
 }  // namespace spokewheel::fronts::http
--- a/src/fronts/http/server.cpp
+++ b/src/fronts/http/server.cpp
@@ -15,7 +15,7 @@
     std::shared_ptr<io::Connection> connection;
     wire::http::Parser parser{wire::http::Parser::Kind::Request, {16 * 1024, 64, kMostBody}};
     ConnectionState state;
-    Decoded decoded;
+    DecodedRequest decoded;
     std::string body;
     // What came behind the open request, and when: not looked at until that is answered.
     std::deque<std::pair<double, std::string>> ahead;
@@ -65,20 +65,20 @@
     ++counts_.connections;
     counts_.most = std::max(counts_.most, sessions_.size());
     const std::weak_ptr<Session> weak = s;
-    s->connection->handle({{},
-                           [this, weak](std::string_view bytes) {
-                               if (const auto l = weak.lock()) onData(l, bytes);
-                           },
-                           {},
-                           [this, weak](io::Closed) {
-                               if (const auto l = weak.lock()) onClosed(l);
-                           }});
+    s->connection->setHandler({{},
+                               [this, weak](std::string_view bytes) {
+                                   if (const auto l = weak.lock()) onData(l, bytes);
+                               },
+                               {},
+                               [this, weak](io::DisconnectReason) {
+                                   if (const auto l = weak.lock()) onClosed(l);
+                               }});
 }
 
 const ConnectionState& Server::observe(Session& s) {
     auto& now = s.state;
     now.unread = now.phase != Phase::Open && s.connection->readable();
-    now.ended = now.phase == Phase::Leaving && s.connection->ended();
+    now.ended = now.phase == Phase::Leaving && s.connection->hungUp();
     if (now.phase == Phase::Leaving && now.flushedAt < 0 && s.connection->queued() == 0)
         now.flushedAt = io::nowMs();
     return now;
@@ -201,7 +201,7 @@
     if (s->isReady) return true;
     s->decoded = decodeRequest(head, settings_);
     if (s->decoded.status) {
-        error(s, s->decoded.status, s->decoded.words);
+        error(s, s->decoded.status, s->decoded.error);
         return false;
     }
     if (const auto* expect = head.find("Expect"); expect && wire::http::sameName(*expect, "100-continue")) {
@@ -229,7 +229,7 @@
     // The loop may be held up between its look at the sockets and an attempt: a client that has gone
     // meanwhile is found by reading what waits.
     work.awaited = [connection = s->connection] {
-        connection->receiveNow();
+        connection->readPending();
         return connection->open();
     };
     enter(*s, Phase::Open);
--- a/src/fronts/rsync/channel.hpp
+++ b/src/fronts/rsync/channel.hpp
@@ -8,14 +8,14 @@
 #include <utility>
 #include <vector>
 
-#include "io/pipe.hpp"
+#include "io/byte_stream.hpp"
 #include "wire/rsync/mux.hpp"
 
 namespace spokewheel::fronts::rsync {
 
 class Channel {
   public:
-    explicit Channel(std::shared_ptr<io::Pipe> pipe) : pipe_(std::move(pipe)) {}
+    explicit Channel(std::shared_ptr<io::ByteStream> pipe) : pipe_(std::move(pipe)) {}
 
     // ---- in ----
     // False where the stream is broken; error() tells. Reading stops by itself while much waits unread.
@@ -44,7 +44,7 @@
   private:
     static constexpr std::size_t kMostUnread = 512 * 1024, kMostPending = 128 * 1024, kFrame = 32 * 1024,
                                  kLiteral = 128 * 1024;
-    std::shared_ptr<io::Pipe> pipe_;
+    std::shared_ptr<io::ByteStream> pipe_;
     wire::rsync::Demux demux_;
     std::vector<wire::rsync::Demux::Beside> beside_;
     bool step();
--- a/src/fronts/rsync/session.cpp
+++ b/src/fronts/rsync/session.cpp
@@ -64,19 +64,19 @@
 
 void Session::start() {
     const std::weak_ptr<Session> weak = weak_from_this();
-    connection_->handle({{},
-                         [weak](std::string_view bytes) {
-                             if (const auto s = weak.lock()) s->onData(bytes);
-                         },
-                         [weak] {
-                             if (const auto s = weak.lock()) {
-                                 s->progressAt_ = io::nowMs();
-                                 s->advance();
-                             }
-                         },
-                         [weak](io::Closed) {
-                             if (const auto s = weak.lock()) s->end();
-                         }});
+    connection_->setHandler({{},
+                             [weak](std::string_view bytes) {
+                                 if (const auto s = weak.lock()) s->onData(bytes);
+                             },
+                             [weak] {
+                                 if (const auto s = weak.lock()) {
+                                     s->progressAt_ = io::nowMs();
+                                     s->advance();
+                                 }
+                             },
+                             [weak](io::DisconnectReason) {
+                                 if (const auto s = weak.lock()) s->end();
+                             }});
     startedAt_ = progressAt_ = io::nowMs();
     channel_->raw(greeting(kDigests));
     watchIdle();
--- a/src/io/pipe.hpp
+++ b/src/io/byte_stream.hpp
@@ -6,9 +6,9 @@
 
 namespace spokewheel::io {
 
-class Pipe {
+class ByteStream {
   public:
-    virtual ~Pipe() = default;
+    virtual ~ByteStream() = default;
     // Queues all of it; never blocks. Callers look at backlogged() before they make more, and are told once
     // the queue has drained.
     virtual void write(std::string bytes) = 0;
--- a/src/io/connection.cpp
+++ b/src/io/connection.cpp
@@ -95,14 +95,14 @@
     const auto family = to.host.find(':') == std::string::npos ? G_SOCKET_FAMILY_IPV4 : G_SOCKET_FAMILY_IPV6;
     GSocket* s = g_socket_new(family, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, &error.e);
     std::shared_ptr<Connection> c(new Connection(s));
-    c->failedHere_ = !s;
+    c->failedLocally_ = !s;
     if (!s) return c;
     g_socket_set_blocking(s, FALSE);
     g_socket_set_option(s, 6 /* IPPROTO_TCP */, 1 /* TCP_NODELAY */, 1, nullptr);
     GSocketAddress* address = socketAddress(to);
     if (!address || (!g_socket_connect(s, address, nullptr, &error.e) && !error.wouldBlock())) {
         // A refusal is the other machine's word; all else that is known at once is of this one.
-        c->failedHere_ = address && !g_error_matches(error.e, G_IO_ERROR, G_IO_ERROR_CONNECTION_REFUSED);
+        c->failedLocally_ = address && !g_error_matches(error.e, G_IO_ERROR, G_IO_ERROR_CONNECTION_REFUSED);
         g_object_unref(s);
         c->socket_ = nullptr;
     }
@@ -161,7 +161,7 @@
         return static_cast<bool>(in_);
     }
     if (n < 0 && error.wouldBlock()) return true;
-    fail(n == 0 ? Closed::ByPeer : Closed::Reset);
+    fail(n == 0 ? DisconnectReason::ByPeer : DisconnectReason::Reset);
     return false;
 }
 
@@ -170,7 +170,7 @@
     return now - arrivedNotBeforeMs_ <= kOrdinaryWaitMs ? now : arrivedNotBeforeMs_;
 }
 
-void Connection::receiveNow() {
+void Connection::readPending() {
     const auto keep = shared_from_this();
     for (int i = 0; i < kReadsAtOnce && in_ && readable(); ++i) onReady(G_IO_IN);
 }
@@ -179,7 +179,7 @@
     ErrorHolder error;
     if (connecting_) {
         if (!g_socket_check_connect_result(socket_, &error.e)) {
-            fail(Closed::NotConnected);
+            fail(DisconnectReason::ConnectFailed);
             return false;
         }
         connecting_ = false;
@@ -193,7 +193,7 @@
             if (was && queued_ < kHighWater / 2 && handler_.drained) handler_.drained();
             return static_cast<bool>(out_);
         }
-        fail(Closed::Reset);
+        fail(DisconnectReason::Reset);
         return false;
     }
     if (was && handler_.drained) {
@@ -214,7 +214,7 @@
         if (n < 0) return false;
         offset_ += static_cast<std::size_t>(n);
         queued_ -= static_cast<std::size_t>(n);
-        wrote_ += static_cast<std::uint64_t>(n);
+        bytesSent_ += static_cast<std::uint64_t>(n);
         if (offset_ == front.size()) queue_.pop_front(), offset_ = 0;
     }
     return true;
@@ -249,7 +249,7 @@
 bool Connection::readable() const {
     return !socket_ || (g_socket_condition_check(socket_, GIOCondition(G_IO_IN | G_IO_HUP | G_IO_ERR)) != 0);
 }
-bool Connection::ended() const {
+bool Connection::hungUp() const {
     return !socket_ || (g_socket_condition_check(socket_, GIOCondition(G_IO_HUP | G_IO_ERR)) &
                         (G_IO_HUP | G_IO_ERR)) != 0;
 }
@@ -273,7 +273,7 @@
         g_object_unref(socket_);
     }
     socket_ = nullptr;
-    cutOff_ = cutOff_ || queued_ > 0;
+    droppedUnsentBytes_ = droppedUnsentBytes_ || queued_ > 0;
     queue_.clear();
     queued_ = 0;
 }
@@ -282,7 +282,7 @@
     if (socket_) setsockopt(g_socket_get_fd(socket_), SOL_SOCKET, SO_LINGER, &none, sizeof none);
     close();
 }
-void Connection::fail(Closed why) {
+void Connection::fail(DisconnectReason why) {
     const auto keep = shared_from_this();
     close();
     if (handler_.closed) {
@@ -366,7 +366,7 @@
     socket_ = nullptr;
 }
 
-Datagrams::Datagrams(const Address& at, Received received) : received_(std::move(received)) {
+DatagramSocket::DatagramSocket(const Address& at, Received received) : received_(std::move(received)) {
     socket_ = bound(at, G_SOCKET_TYPE_DATAGRAM, G_SOCKET_PROTOCOL_UDP);
     GSource* source = g_socket_create_source(socket_, G_IO_IN, nullptr);
     g_source_set_callback(
@@ -380,7 +380,7 @@
                     from = addressOf(G_INET_SOCKET_ADDRESS(sender));
                 if (sender) g_object_unref(sender);
                 if (n < 0) break;
-                static_cast<Datagrams*>(self)->received_(from, {buffer, static_cast<std::size_t>(n)});
+                static_cast<DatagramSocket*>(self)->received_(from, {buffer, static_cast<std::size_t>(n)});
             }
             return TRUE;
         }),
@@ -388,12 +388,12 @@
     source_ = Source(g_source_attach(source, nullptr));
     g_source_unref(source);
 }
-Datagrams::~Datagrams() {
+DatagramSocket::~DatagramSocket() {
     source_.reset();
     g_socket_close(socket_, nullptr);
     g_object_unref(socket_);
 }
-void Datagrams::send(const Address& to, std::string_view bytes) {
+void DatagramSocket::send(const Address& to, std::string_view bytes) {
     GSocketAddress* address = socketAddress(to);
     if (!address) return;
     g_socket_send_to(socket_, address, bytes.data(), bytes.size(), nullptr, nullptr);
--- a/src/io/connection.hpp
+++ b/src/io/connection.hpp
@@ -11,8 +11,8 @@
 #include <string>
 #include <string_view>
 
+#include "io/byte_stream.hpp"
 #include "io/loop.hpp"
-#include "io/pipe.hpp"
 
 namespace spokewheel::io {
 
@@ -28,15 +28,15 @@
 // nothing that comes from a client may be given to it.
 bool parseNumericAddress(const std::string& text, Address& out);
 
-enum class Closed { ByPeer, Reset, NotConnected };
+enum class DisconnectReason { ByPeer, Reset, ConnectFailed };
 
-class Connection : public Pipe, public std::enable_shared_from_this<Connection> {
+class Connection : public ByteStream, public std::enable_shared_from_this<Connection> {
   public:
     struct Handler {
         std::function<void()> connected;
-        std::function<void(std::string_view)> data;  // at most 256 KiB at a time
-        std::function<void()> drained;               // the write queue fell under half of its mark
-        std::function<void(Closed)> closed;          // once, not after close()
+        std::function<void(std::string_view)> data;    // at most 256 KiB at a time
+        std::function<void()> drained;                 // the write queue fell under half of its mark
+        std::function<void(DisconnectReason)> closed;  // once, not after close()
     };
     static constexpr std::size_t kHighWater = 256 * 1024;
 
@@ -47,7 +47,7 @@
     Connection(const Connection&) = delete;
     Connection& operator=(const Connection&) = delete;
 
-    void handle(Handler handler) { handler_ = std::move(handler); }
+    void setHandler(Handler handler) { handler_ = std::move(handler); }
     // Queues all of it; callers look at backlogged() and wait for drained before they make more.
     void write(std::string bytes) override;
     // Gives the kernel now what it takes of the queue, where the rest would wait for the loop. No callback
@@ -56,26 +56,26 @@
     bool backlogged() const override { return queued_ >= kHighWater; }
     std::size_t queued() const { return queued_; }
     // It ended, or was closed, while some of what was written was still in the queue.
-    bool cutOff() const { return cutOff_; }
+    bool droppedUnsentBytes() const { return droppedUnsentBytes_; }
     // Address of the other side without its port; empty where it is gone.
     std::string remoteHost() const;
     // Bytes of the queue that the kernel has taken since the start.
-    std::uint64_t wrote() const { return wrote_; }
+    std::uint64_t bytesSent() const { return bytesSent_; }
     void pauseReading() override;
     void resumeReading() override;
     // Hands over now what waits to be read, an end included; not from within a callback of this connection.
-    void receiveNow();
+    void readPending();
     // In `data`, of an adopted connection: when the bytes came, on nowMs(). Now, unless the process was held
     // up: then the earliest moment at which they can have come.
     double arrivedAtMs() const;
     bool readable() const;  // bytes or an end wait unread (used to find a kept connection that has ended)
-    bool ended() const;     // both sides have ended, or it broke; what came may still be unread
+    bool hungUp() const;    // both sides have ended, or it broke; what came may still be unread
     void shutdownWrite();   // after what is queued has gone out
     void close();           // at once; what is queued is dropped, no callback follows
     void reset();           // the same, and the other side sees a reset (SO_LINGER of 0)
     bool open() const { return socket_ != nullptr; }
     // After dial(): it failed at once for a reason of this machine (no descriptor, port, buffer or route).
-    bool failedHere() const { return failedHere_; }
+    bool failedLocally() const { return failedLocally_; }
 
   private:
     explicit Connection(GSocket* socket) : socket_(socket) {}
@@ -84,18 +84,19 @@
     bool onReady(GIOCondition condition);
     bool onWritable();
     bool sendSome(GError** error);
-    void fail(Closed why);
+    void fail(DisconnectReason why);
 
     GSocket* socket_;
     Handler handler_;
     Source in_, out_;
     std::deque<std::string> queue_;
     std::size_t queued_ = 0, offset_ = 0;
-    std::uint64_t wrote_ = 0;
+    std::uint64_t bytesSent_ = 0;
     // Of what is read now: it came no earlier. More of the same may wait in the socket.
     double arrivedNotBeforeMs_ = 0;
     bool timesArrivals_ = false, moreWaits_ = false;
-    bool connecting_ = false, paused_ = false, finish_ = false, failedHere_ = false, cutOff_ = false;
+    bool connecting_ = false, paused_ = false, finish_ = false, failedLocally_ = false,
+         droppedUnsentBytes_ = false;
 };
 
 // A listening socket can't be had: the address and the system's words.
@@ -139,13 +140,13 @@
 };
 
 // UDP on loopback.
-class Datagrams {
+class DatagramSocket {
   public:
     using Received = std::function<void(const Address& from, std::string_view bytes)>;
-    Datagrams(const Address& at, Received received);
-    ~Datagrams();
-    Datagrams(const Datagrams&) = delete;
-    Datagrams& operator=(const Datagrams&) = delete;
+    DatagramSocket(const Address& at, Received received);
+    ~DatagramSocket();
+    DatagramSocket(const DatagramSocket&) = delete;
+    DatagramSocket& operator=(const DatagramSocket&) = delete;
     void send(const Address& to, std::string_view bytes);  // lost where the kernel has no room
 
   private:
--- a/src/nodes/node_client.cpp
+++ b/src/nodes/node_client.cpp
@@ -113,8 +113,9 @@
 
 // By what the kernel has taken of the request on this connection.
 bool NodeClient::mayHaveRun(const Link& link) const {
-    if (!link.ready || link.connection->wrote() <= link.wroteBefore) return false;
-    return !dialect_.runsOnlyWhole || (link.connection->queued() == 0 && !link.connection->cutOff());
+    if (!link.ready || link.connection->bytesSent() <= link.wroteBefore) return false;
+    return !dialect_.runsOnlyWhole ||
+           (link.connection->queued() == 0 && !link.connection->droppedUnsentBytes());
 }
 
 void NodeClient::start(std::uint64_t id) {
@@ -156,7 +157,7 @@
     link->node = f.node;
     link->flight = id;
     link->connection = io::Connection::dial(address);
-    if (link->connection->failedHere()) {
+    if (link->connection->failedLocally()) {
         if (const auto at = links_.find(f.node); at != links_.end() && at->second.empty()) links_.erase(at);
         const bool again = io::nowMs() + kDialAgainMs < f.startedAt + kDialAgainForMs;
         return again ? f.later.arm(kDialAgainMs, [this, id] { start(id); })
@@ -173,16 +174,16 @@
     const auto with = [this, weak](auto then) {
         if (const auto l = weak.lock()) (this->*then)(l);
     };
-    link->connection->handle({[with] { with(&NodeClient::onConnected); },
-                              [this, weak](std::string_view bytes) {
-                                  if (const auto l = weak.lock()) onData(l, bytes);
-                              },
-                              {},
-                              [this, weak](io::Closed why) {
-                                  if (const auto l = weak.lock()) onClosed(l, why);
-                              }});
+    link->connection->setHandler({[with] { with(&NodeClient::onConnected); },
+                                  [this, weak](std::string_view bytes) {
+                                      if (const auto l = weak.lock()) onData(l, bytes);
+                                  },
+                                  {},
+                                  [this, weak](io::DisconnectReason why) {
+                                      if (const auto l = weak.lock()) onClosed(l, why);
+                                  }});
     link->timer.arm(caps_.connectMs, [this, weak] {
-        if (const auto l = weak.lock()) onClosed(l, io::Closed::NotConnected);
+        if (const auto l = weak.lock()) onClosed(l, io::DisconnectReason::ConnectFailed);
     });
 }
 
@@ -205,7 +206,7 @@
     link->timer.cancel();
     link->parser.reset();
     auto& f = *flights_.at(link->flight);
-    link->wroteBefore = link->connection->wrote();  // also where nothing is written: nothing has run then
+    link->wroteBefore = link->connection->bytesSent();  // also where nothing is written: nothing has run then
     // The last moment before its first byte: while it was dialled its client may have left, or the node been
     // told as draining, cold or moved.
     if (link->retired || (f.mayBegin && !f.mayBegin()))
@@ -275,13 +276,13 @@
         }
 }
 
-void NodeClient::onClosed(const LinkPtr& link, io::Closed why) {
+void NodeClient::onClosed(const LinkPtr& link, io::DisconnectReason why) {
     const auto id = link->flight;
     if (!id) return drop(link, LinkClose::ByNode);
     // An answer without a length ends with its connection, in order; a reset is never its end.
-    if (why == io::Closed::ByPeer && link->parser.ended() == wire::http::Parser::Got::End)
+    if (why == io::DisconnectReason::ByPeer && link->parser.ended() == wire::http::Parser::Got::End)
         return end(id, flights_.at(id)->result.outcome, false);
-    const bool sent = why != io::Closed::NotConnected && mayHaveRun(*link);
+    const bool sent = why != io::DisconnectReason::ConnectFailed && mayHaveRun(*link);
     end(id, sent ? Outcome::ConnectionLost : Outcome::NoConnection, false);
 }
 
--- a/src/nodes/node_client.hpp
+++ b/src/nodes/node_client.hpp
@@ -87,7 +87,7 @@
     void transmit(const LinkPtr& link);
     void onConnected(const LinkPtr& link);
     void onData(const LinkPtr& link, std::string_view bytes);
-    void onClosed(const LinkPtr& link, io::Closed why);
+    void onClosed(const LinkPtr& link, io::DisconnectReason why);
     void end(std::uint64_t id, Outcome outcome, bool keepLink);
     void drop(const LinkPtr& link, LinkClose reason);
     bool makeRoom();  // false where each connection is in use
--- a/src/peers/peer_link.cpp
+++ b/src/peers/peer_link.cpp
@@ -18,7 +18,7 @@
         g_hmac_unref(mac);
         return std::string(reinterpret_cast<char*>(out), n);
     };
-    socket_ = std::make_unique<io::Datagrams>(
+    socket_ = std::make_unique<io::DatagramSocket>(
         listen, [this](const io::Address&, std::string_view bytes) { onDatagram(bytes); });
 }
 
--- a/src/peers/peer_link.hpp
+++ b/src/peers/peer_link.hpp
@@ -38,7 +38,7 @@
     wire::peer::ReplayGuard replay_;
     PeerCounters counters_;
     wire::peer::Digest digest_;
-    std::unique_ptr<io::Datagrams> socket_;
+    std::unique_ptr<io::DatagramSocket> socket_;
 };
 
 }  // namespace spokewheel::peers
--- a/src/peers/plain_link.cpp
+++ b/src/peers/plain_link.cpp
@@ -9,7 +9,7 @@
     : rank_(rank), peers_(std::move(peers)), all_(std::move(all)), received_(std::move(received)) {
     for (std::size_t i = 0; i < peers_.size(); ++i) ranks_[peers_[i].text()] = static_cast<int>(i);
     socket_ =
-        std::make_unique<io::Datagrams>(listen, [this](const io::Address& from, std::string_view bytes) {
+        std::make_unique<io::DatagramSocket>(listen, [this](const io::Address& from, std::string_view bytes) {
             const auto found = ranks_.find(from.text());
             if (found == ranks_.end() || found->second == rank_) {
                 ++counts_.unknown;
--- a/src/peers/plain_link.hpp
+++ b/src/peers/plain_link.hpp
@@ -36,7 +36,7 @@
     std::map<std::string, int> ranks_;
     Received received_;
     Counts counts_;
-    std::unique_ptr<io::Datagrams> socket_;
+    std::unique_ptr<io::DatagramSocket> socket_;
 };
 
 }  // namespace spokewheel::peers
--- a/src/registry/list_http.cpp
+++ b/src/registry/list_http.cpp
@@ -67,16 +67,16 @@
     body_.clear();
     connection_ = io::Connection::dial(registry_);
     if (!connection_->open()) return failed("registry cannot be reached");
-    connection_->handle({[this] {
-                             connection_->write(wire::http::writeRequest(
-                                 "GET",
-                                 "/nodes?index=" + std::to_string(poll_.index()) +
-                                     "&wait=" + std::to_string(static_cast<int>(Poll::kWaitMs)),
-                                 registry_.text(), {{"Connection", "close"}}, std::nullopt));
-                         },
-                         [this](std::string_view bytes) { onData(bytes); },
-                         {},
-                         [this](io::Closed) { failed("registry closed the connection"); }});
+    connection_->setHandler({[this] {
+                                 connection_->write(wire::http::writeRequest(
+                                     "GET",
+                                     "/nodes?index=" + std::to_string(poll_.index()) +
+                                         "&wait=" + std::to_string(static_cast<int>(Poll::kWaitMs)),
+                                     registry_.text(), {{"Connection", "close"}}, std::nullopt));
+                             },
+                             [this](std::string_view bytes) { onData(bytes); },
+                             {},
+                             [this](io::DisconnectReason) { failed("registry closed the connection"); }});
     timer_.arm(Poll::kWaitMs + Poll::kLateMs, [this] { failed("registry did not answer"); });
 }
 
--- a/src/registry/watch_http.cpp
+++ b/src/registry/watch_http.cpp
@@ -35,23 +35,24 @@
     open_.push_back(s);
     if (!s->connection->open()) return failed(s, WatchFault::Unreachable, "cannot be reached");
     const std::weak_ptr<Stream> weak = s;
-    s->connection->handle({[this, weak] {
-                               const auto l = weak.lock();
-                               if (!l) return;
-                               std::string target = "/v1/endpoints?stream=1";
-                               if (watch_.from() >= 0) target += "&index=" + std::to_string(watch_.from());
-                               l->connection->write(
-                                   wire::http::writeRequest("GET", target, l->at.text(), {}, {}));
-                               l->connection->flush();
-                           },
-                           [this, weak](std::string_view bytes) {
-                               if (const auto l = weak.lock()) onData(l, bytes);
-                           },
-                           {},
-                           [this, weak](io::Closed) {
-                               if (const auto l = weak.lock())
-                                   failed(l, WatchFault::Closed, "closed the connection");
-                           }});
+    s->connection->setHandler({[this, weak] {
+                                   const auto l = weak.lock();
+                                   if (!l) return;
+                                   std::string target = "/v1/endpoints?stream=1";
+                                   if (watch_.from() >= 0)
+                                       target += "&index=" + std::to_string(watch_.from());
+                                   l->connection->write(
+                                       wire::http::writeRequest("GET", target, l->at.text(), {}, {}));
+                                   l->connection->flush();
+                               },
+                               [this, weak](std::string_view bytes) {
+                                   if (const auto l = weak.lock()) onData(l, bytes);
+                               },
+                               {},
+                               [this, weak](io::DisconnectReason) {
+                                   if (const auto l = weak.lock())
+                                       failed(l, WatchFault::Closed, "closed the connection");
+                               }});
     armNext();
 }
 
--- a/standins/http_server.cpp
+++ b/standins/http_server.cpp
@@ -23,13 +23,13 @@
     limits.body = mostBody_;
     c->parser = Parser(Parser::Kind::Request, limits);
     c->connection = std::move(connection);
-    c->connection->handle({{},
-                           [this, id](std::string_view bytes) { onData(id, bytes); },
-                           {},
-                           [this, id](io::Closed) {
-                               clients_.erase(id);
-                               if (handler_.gone) handler_.gone(id);
-                           }});
+    c->connection->setHandler({{},
+                               [this, id](std::string_view bytes) { onData(id, bytes); },
+                               {},
+                               [this, id](io::DisconnectReason) {
+                                   clients_.erase(id);
+                                   if (handler_.gone) handler_.gone(id);
+                               }});
     if (paused_) c->connection->pauseReading();
 }
 
--- a/tests/gateway/attempt_guard_test.cpp
+++ b/tests/gateway/attempt_guard_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 using invariants::Violation;
-using platform::testing::turn;
+using platform::testing::runLoopUntil;
 
 Settings settingsOfTest() {
     Settings s;
@@ -147,7 +147,7 @@
         work.exchange = std::make_shared<Exchange>();
         work.awaited = [there] { return there; };
         host.submit(std::move(work), [](Answer) {});
-        ASSERT_TRUE(turn([&] { return static_cast<bool>(nodes.asked); }));
+        ASSERT_TRUE(runLoopUntil([&] { return static_cast<bool>(nodes.asked); }));
         EXPECT_EQ(nodes.asked(), there);
         EXPECT_EQ(host.monitor().total(), 0u);
     }
--- a/tests/gateway/platform_close_test.cpp
+++ b/tests/gateway/platform_close_test.cpp
@@ -24,7 +24,7 @@
         EXPECT_EQ(connect(fd_, reinterpret_cast<sockaddr*>(&a), sizeof a), 0);
     }
     ~PlainClient() { hangUp(); }
-    void say(const std::string& text) {
+    void send(const std::string& text) {
         EXPECT_EQ(::send(fd_, text.data(), text.size(), MSG_NOSIGNAL), static_cast<ssize_t>(text.size()));
     }
     void halfClose() { shutdown(fd_, SHUT_WR); }
@@ -61,13 +61,13 @@
 class CloseTest : public PlatformTest {
   protected:
     void serveAll(const std::string& body = "x") {
-        disk->onRequest = [body](Taken& t) { t.say(served(body)); };
+        disk->onRequest = [body](AcceptedConnection& t) { t.send(okResponse(body)); };
     }
     std::string text(const std::string& id, const std::string& timeout = "2400") {
         return requestText({.id = id, .timeout = timeout});
     }
     bool seen(const std::string& id) const {
-        for (const auto& t : disk->taken)
+        for (const auto& t : disk->accepted)
             for (const auto& head : t->heads)
                 if (*head.find("X-Request-ID") == id) return true;
         return false;
@@ -79,17 +79,17 @@
 
 // Guards against requests that came behind the last answer of a connection and never got one.
 TEST_F(CloseTest, WhatCameBehindAnOpenRequestIsAnsweredThoughTheSchedulerStops) {
-    start();
-    Taken* first = nullptr;
-    disk->onRequest = [&](Taken& t) { first ? t.say(served("x")) : void(first = &t); };
+    startUntilReady();
+    AcceptedConnection* first = nullptr;
+    disk->onRequest = [&](AcceptedConnection& t) { first ? t.send(okResponse("x")) : void(first = &t); };
     PlainClient c(port);
-    c.say(text("a"));
-    ASSERT_TRUE(turn([&] { return first != nullptr; }));
-    c.say(text("b") + text("c"));
+    c.send(text("a"));
+    ASSERT_TRUE(runLoopUntil([&] { return first != nullptr; }));
+    c.send(text("b") + text("c"));
     daemon->stop();
-    pass(stopAfterMs() + 50);  // it drains now, and "a" is open
-    first->say(served("x"));
-    ASSERT_TRUE(turn([&] { return c.read(), c.ended || c.reset; }));
+    runLoopFor(stopAfterMs() + 50);  // it drains now, and "a" is open
+    first->send(okResponse("x"));
+    ASSERT_TRUE(runLoopUntil([&] { return c.read(), c.ended || c.reset; }));
     EXPECT_EQ(c.answers(), 3);
     EXPECT_FALSE(c.reset);
     EXPECT_EQ(c.got.find("Connection: close"), c.got.rfind("Connection: close"));
@@ -98,16 +98,16 @@
 // Guards against a resting connection that is closed over a request: it ends in order, and what is read after
 // the shutdown goes nowhere.
 TEST_F(CloseTest, ARequestThatCrossesTheEndOfARestingConnectionGoesNowhereAndIsNotReset) {
-    start();
+    startUntilReady();
     serveAll();
     PlainClient c(port);
-    c.say(text("a"));
-    ASSERT_TRUE(turn([&] { return c.read(), c.answers() == 1; }));
+    c.send(text("a"));
+    ASSERT_TRUE(runLoopUntil([&] { return c.read(), c.answers() == 1; }));
     daemon->stop();
-    ASSERT_TRUE(turn([&] { return c.read(), c.ended || c.reset; }, 4000));
+    ASSERT_TRUE(runLoopUntil([&] { return c.read(), c.ended || c.reset; }, 4000));
     EXPECT_TRUE(c.ended);
-    c.say(text("late"));
-    pass(100);
+    c.send(text("late"));
+    runLoopFor(100);
     c.read();
     EXPECT_FALSE(c.reset);
     EXPECT_FALSE(seen("late"));
@@ -115,15 +115,15 @@
 
 // Guards against an answer that a slow reader loses: the end is waited for from when it was written.
 TEST_F(CloseTest, ASlowReaderGetsItsLastAnswerWhole) {
-    start();
+    startUntilReady();
     const std::string body(2000000, 'y');
     serveAll(body);
     PlainClient c(port, 4096);
     auto request = text("a");
-    c.say(request.insert(request.find("X-Plan"), "Connection: close\r\n"));
-    ASSERT_TRUE(turn([&] { return seen("a"); }));
-    pass(1200);
-    ASSERT_TRUE(turn([&] { return c.read(), c.ended || c.reset; }, 4000));
+    c.send(request.insert(request.find("X-Plan"), "Connection: close\r\n"));
+    ASSERT_TRUE(runLoopUntil([&] { return seen("a"); }));
+    runLoopFor(1200);
+    ASSERT_TRUE(runLoopUntil([&] { return c.read(), c.ended || c.reset; }, 4000));
     EXPECT_FALSE(c.reset);
     EXPECT_GT(c.got.size(), body.size());
 }
@@ -131,26 +131,26 @@
 // Guards against a client whose end is not noticed behind what it sent: closing and half-closing both mean
 // that it has gone (protocol page), and what waited for its first attempt is not sent on.
 TEST_F(CloseTest, AClientThatSendsMuchAndLeavesIsNotServed) {
-    known = listText(41, true, "");
-    start();
+    known = listJson(41, true, "");
+    startUntilReady();
     PlainClient flood(port), half(port), stays(port);
-    flood.say(text("flood"));
-    half.say(text("half"));
-    stays.say(text("stays"));
-    pass(20);
+    flood.send(text("flood"));
+    half.send(text("half"));
+    stays.send(text("stays"));
+    runLoopFor(20);
     std::string much;
     for (int i = 0; much.size() < 900000; ++i) much += text("behind-" + std::to_string(i));
     for (std::size_t at = 0; at < much.size(); at += 50000) {
-        flood.say(much.substr(at, 50000));
-        pass(2);
+        flood.send(much.substr(at, 50000));
+        runLoopFor(2);
     }
     flood.hangUp();
     half.halfClose();
-    pass(100);
+    runLoopFor(100);
     serveAll();
-    discovery->last().say(chunk(listText(43, false, member("s-1", disk->address(), 0))));
-    ASSERT_TRUE(turn([&] { return stays.read(), stays.answers() == 1; }));
-    pass(50);
+    discovery->last().send(lineChunk(listJson(43, false, memberJson("s-1", disk->address(), 0))));
+    ASSERT_TRUE(runLoopUntil([&] { return stays.read(), stays.answers() == 1; }));
+    runLoopFor(50);
     EXPECT_FALSE(seen("flood"));
     EXPECT_FALSE(seen("half"));
     EXPECT_EQ(disk->requests(), 1u);
@@ -158,19 +158,19 @@
 
 // A flood is answered by an end once what came before it is answered.
 TEST_F(CloseTest, AFloodBehindAnOpenRequestEndsItsConnection) {
-    start();
-    Taken* first = nullptr;
-    disk->onRequest = [&](Taken& t) { first ? t.say(served("x")) : void(first = &t); };
+    startUntilReady();
+    AcceptedConnection* first = nullptr;
+    disk->onRequest = [&](AcceptedConnection& t) { first ? t.send(okResponse("x")) : void(first = &t); };
     PlainClient c(port);
-    c.say(text("a"));
-    ASSERT_TRUE(turn([&] { return first != nullptr; }));
+    c.send(text("a"));
+    ASSERT_TRUE(runLoopUntil([&] { return first != nullptr; }));
     const std::string noise(50000, 'n');
     for (int i = 0; i < 20; ++i) {
-        c.say(noise);
-        pass(2);
+        c.send(noise);
+        runLoopFor(2);
     }
-    first->say(served("x"));
-    ASSERT_TRUE(turn([&] { return c.read(), c.answers() == 2; }));
+    first->send(okResponse("x"));
+    ASSERT_TRUE(runLoopUntil([&] { return c.read(), c.answers() == 2; }));
     EXPECT_EQ(c.got.find("HTTP/1.1 200"), 0u);
     EXPECT_NE(c.got.find("HTTP/1.1 4"), std::string::npos);
     EXPECT_EQ(disk->requests(), 1u);
@@ -178,39 +178,39 @@
 
 // However much comes behind it, an open request has its answer.
 TEST_F(CloseTest, AFloodWithoutEndDoesNotTakeTheOpenRequestAlong) {
-    start();
-    Taken* first = nullptr;
-    disk->onRequest = [&](Taken& t) { first = &t; };
+    startUntilReady();
+    AcceptedConnection* first = nullptr;
+    disk->onRequest = [&](AcceptedConnection& t) { first = &t; };
     auto c = client();
-    c->say(text("a"));
-    ASSERT_TRUE(turn([&] { return first != nullptr; }));
+    c->send(text("a"));
+    ASSERT_TRUE(runLoopUntil([&] { return first != nullptr; }));
     const std::string noise(1 << 20, 'n');
     for (int i = 0; i < 24; ++i) {
         c->connection->write(noise);
-        pass(10);
+        runLoopFor(10);
     }
     EXPECT_FALSE(c->closed);
-    first->say(served("x"));
-    ASSERT_TRUE(turn([&] { return c->answered(); }));
+    first->send(okResponse("x"));
+    ASSERT_TRUE(runLoopUntil([&] { return c->answered(); }));
     EXPECT_EQ(c->got.find("HTTP/1.1 200"), 0u);
-    ASSERT_TRUE(turn([&] { return c->closed; }));
+    ASSERT_TRUE(runLoopUntil([&] { return c->closed; }));
     EXPECT_EQ(disk->requests(), 1u);
 }
 
 // What waits behind an open request spends its own time meanwhile: its disk server is told what is left.
 TEST_F(CloseTest, TheTimeOfWhatWaitsBehindRuns) {
-    start();
-    Taken* first = nullptr;
-    disk->onRequest = [&](Taken& t) { first ? t.say(served("x")) : void(first = &t); };
+    startUntilReady();
+    AcceptedConnection* first = nullptr;
+    disk->onRequest = [&](AcceptedConnection& t) { first ? t.send(okResponse("x")) : void(first = &t); };
     PlainClient c(port);
-    c.say(text("a") + text("b", "1000"));
-    ASSERT_TRUE(turn([&] { return first != nullptr; }));
-    pass(300);
-    c.say(text("c", "1000"));
-    pass(300);
-    first->say(served("x"));
-    ASSERT_TRUE(turn([&] { return c.read(), c.answers() == 3; }));
-    for (const auto& t : disk->taken)
+    c.send(text("a") + text("b", "1000"));
+    ASSERT_TRUE(runLoopUntil([&] { return first != nullptr; }));
+    runLoopFor(300);
+    c.send(text("c", "1000"));
+    runLoopFor(300);
+    first->send(okResponse("x"));
+    ASSERT_TRUE(runLoopUntil([&] { return c.read(), c.answers() == 3; }));
+    for (const auto& t : disk->accepted)
         for (const auto& head : t->heads) {
             const auto told = std::stoi(*head.find("X-Timeout-Ms"));
             const auto& id = *head.find("X-Request-ID");
@@ -222,56 +222,60 @@
 // unanswered until one ends, and is not turned away.
 TEST_F(CloseTest, WhoComesWhenEachPlaceIsOpenWaitsForOne) {
     sockets = 90;
-    start();
+    startUntilReady();
     const auto places =
         fronts::http::sharesOf(90).clients + 1;  // the one that finds none is taken, and no more
     std::vector<std::unique_ptr<PlainClient>> open;
     for (std::size_t i = 0; i < places; ++i) {
         open.push_back(std::make_unique<PlainClient>(port));
-        open.back()->say(requestText({.id = "o" + std::to_string(i),
-                                      .timeout = "60000",
-                                      .io = "volume=00000003b4d60021,units=2,shard=7,hosts=1"}));
-        pass(5);
+        open.back()->send(requestText({.id = "o" + std::to_string(i),
+                                       .timeout = "60000",
+                                       .io = "volume=00000003b4d60021,units=2,shard=7,hosts=1"}));
+        runLoopFor(5);
     }
     PlainClient late(port);
-    late.say("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-    pass(200);
+    late.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+    runLoopFor(200);
     late.read();
     EXPECT_EQ(late.answers(), 0);
     EXPECT_FALSE(late.ended || late.reset);
     open[0]->hangUp();
-    ASSERT_TRUE(turn([&] { return late.read(), late.answers() == 1; }));
+    ASSERT_TRUE(runLoopUntil([&] { return late.read(), late.answers() == 1; }));
 }
 
 // Guards against a second word to stop that drops what is open: the end begins at once, and the answer comes.
 TEST_F(CloseTest, ASecondWordToStopStillAnswersWhatIsOpen) {
-    start();
+    startUntilReady();
     PlainClient open(port), rests(port);
-    open.say(text("a"));
-    ASSERT_TRUE(turn([&] { return seen("a"); }));
+    open.send(text("a"));
+    ASSERT_TRUE(runLoopUntil([&] { return seen("a"); }));
     daemon->stop();
     daemon->stop();
-    ASSERT_TRUE(turn([&] { return rests.read(), rests.ended || rests.reset; }, 1500));
+    ASSERT_TRUE(runLoopUntil([&] { return rests.read(), rests.ended || rests.reset; }, 1500));
     EXPECT_FALSE(rests.reset);
     EXPECT_EQ(open.answers(), 0);
-    disk->last().say(served("x"));
-    ASSERT_TRUE(turn([&] { return open.read(), open.ended || open.reset; }));
+    disk->last().send(okResponse("x"));
+    ASSERT_TRUE(runLoopUntil([&] { return open.read(), open.ended || open.reset; }));
     EXPECT_EQ(open.answers(), 1);
 }
 
 // Guards against what is open at a planned stop and allows itself more time than the kill does.
 TEST_F(CloseTest, WhatIsOpenAtAStopHasItsAnswerBeforeTheKill) {
-    start();
+    startUntilReady();
     PlainClient once(port), read(port);
-    once.say(requestText(
-        {.method = "PUT", .path = "/once", .klass = "once", .id = "a", .timeout = "9000", .body = "b"}));
-    read.say(requestText({.id = "b", .timeout = "9000"}));
-    ASSERT_TRUE(turn([&] { return seen("a"); }));
+    once.send(requestText({.method = "PUT",
+                           .path = "/once",
+                           .requestClass = "once",
+                           .id = "a",
+                           .timeout = "9000",
+                           .body = "b"}));
+    read.send(requestText({.id = "b", .timeout = "9000"}));
+    ASSERT_TRUE(runLoopUntil([&] { return seen("a"); }));
     daemon->stop();
     const double from = io::nowMs();
-    ASSERT_TRUE(turn([&] { return once.read(), once.answers() == 1; }, 4000));
+    ASSERT_TRUE(runLoopUntil([&] { return once.read(), once.answers() == 1; }, 4000));
     EXPECT_NE(once.got.find("HTTP/1.1 502"), std::string::npos);  // it may be running
-    ASSERT_TRUE(turn([&] { return read.read(), read.answers() == 1; }, 1000));
+    ASSERT_TRUE(runLoopUntil([&] { return read.read(), read.answers() == 1; }, 1000));
     EXPECT_LT(io::nowMs() - from, 2500 + 700 - 200);
 }
 
--- a/tests/gateway/platform_list_test.cpp
+++ b/tests/gateway/platform_list_test.cpp
@@ -36,7 +36,7 @@
 registry::Endpoints word(std::int64_t revision, bool complete, const std::string& members) {
     registry::Endpoints out;
     std::string words;
-    EXPECT_TRUE(registry::readEndpoints(listText(static_cast<int>(revision), complete, members), out, words))
+    EXPECT_TRUE(registry::readEndpoints(listJson(static_cast<int>(revision), complete, members), out, words))
         << words;
     return out;
 }
@@ -47,44 +47,45 @@
 TEST(NodeBook, AnOlderListUndoesNoDrain) {
     registry::NodeBook book;
     book.apply(word(50, true,
-                    member("a", "127.0.0.1:1", 0) + "," + member("b", "127.0.0.1:2", 1, "draining") + "," +
-                        member("c", "127.0.0.1:3", 2)),
+                    memberJson("a", "127.0.0.1:1", 0) + "," + memberJson("b", "127.0.0.1:2", 1, "draining") +
+                        "," + memberJson("c", "127.0.0.1:3", 2)),
                ListForm::Full, kClock);
-    book.apply(word(51, false, member("c", "127.0.0.1:3", 2, "removed")), ListForm::Delta, kClock);
+    book.apply(word(51, false, memberJson("c", "127.0.0.1:3", 2, "removed")), ListForm::Delta, kClock);
     const auto phases = [](const registry::NodeBook::Change& change) {
         std::map<std::string, Lifecycle> out;
         for (const auto& e : change.update.entries) out[e.node] = e.lifecycle;
         return out;
     };
-    const auto all = member("a", "127.0.0.1:1", 0) + "," + member("b", "127.0.0.1:2", 1) + "," +
-                     member("c", "127.0.0.1:3", 2);
+    const auto all = memberJson("a", "127.0.0.1:1", 0) + "," + memberJson("b", "127.0.0.1:2", 1) + "," +
+                     memberJson("c", "127.0.0.1:3", 2);
     const auto behind = phases(book.apply(word(45, true, all), ListForm::Full, kClock));
     EXPECT_EQ(behind.at("a"), Lifecycle::Ready);
     EXPECT_EQ(behind.at("b"), Lifecycle::Draining);
     EXPECT_EQ(behind.at("c"), Lifecycle::Gone);
     // Changes on the way to what was known already do not either; a later one does.
-    EXPECT_EQ(
-        phases(book.apply(word(46, false, member("b", "127.0.0.1:2", 1)), ListForm::Delta, kClock)).at("b"),
-        Lifecycle::Draining);
-    EXPECT_FALSE(book.apply(word(46, false, member("b", "127.0.0.1:2", 1)), ListForm::Delta, kClock).news);
-    EXPECT_EQ(
-        phases(book.apply(word(52, false, member("b", "127.0.0.1:2", 1)), ListForm::Delta, kClock)).at("b"),
-        Lifecycle::Ready);
+    EXPECT_EQ(phases(book.apply(word(46, false, memberJson("b", "127.0.0.1:2", 1)), ListForm::Delta, kClock))
+                  .at("b"),
+              Lifecycle::Draining);
+    EXPECT_FALSE(
+        book.apply(word(46, false, memberJson("b", "127.0.0.1:2", 1)), ListForm::Delta, kClock).news);
+    EXPECT_EQ(phases(book.apply(word(52, false, memberJson("b", "127.0.0.1:2", 1)), ListForm::Delta, kClock))
+                  .at("b"),
+              Lifecycle::Ready);
 }
 
 TEST(NodeBook, WhatStartedAnewMovedDrainsOrGoesIsRetired) {
     const auto retired = [](const std::string& members, bool complete) {
         registry::NodeBook book;
-        book.apply(word(1, true, member("a", "127.0.0.1:1", 0)), ListForm::Full, kClock);
+        book.apply(word(1, true, memberJson("a", "127.0.0.1:1", 0)), ListForm::Full, kClock);
         return book.apply(word(2, complete, members), complete ? ListForm::Full : ListForm::Delta, kClock)
             .retire.size();
     };
-    auto anew = member("a", "127.0.0.1:1", 0);
+    auto anew = memberJson("a", "127.0.0.1:1", 0);
     anew.replace(anew.find("up_since_ms\":0"), 14, "up_since_ms\":77");
-    EXPECT_EQ(retired(member("a", "127.0.0.1:1", 0), false), 0u);
+    EXPECT_EQ(retired(memberJson("a", "127.0.0.1:1", 0), false), 0u);
     EXPECT_EQ(retired(anew, false), 1u);
-    EXPECT_EQ(retired(member("a", "127.0.0.1:2", 0), false), 1u);
-    EXPECT_EQ(retired(member("a", "127.0.0.1:1", 0, "draining"), false), 1u);
+    EXPECT_EQ(retired(memberJson("a", "127.0.0.1:2", 0), false), 1u);
+    EXPECT_EQ(retired(memberJson("a", "127.0.0.1:1", 0, "draining"), false), 1u);
     EXPECT_EQ(retired("", true), 1u);
 }
 
@@ -167,9 +168,9 @@
 
 // An entry that can't be read beside good ones: the others count, and nothing new goes to it.
 TEST(NodeBook, AnEntryThatCantBeReadIsNotSentTo) {
-    const auto list = word(
-        2, true,
-        member("a", "127.0.0.1:1", 0) + "," + member("b", "127.0.0.1:2", 1, "odd") + R"(,7,{"phase":"up"})");
+    const auto list = word(2, true,
+                           memberJson("a", "127.0.0.1:1", 0) + "," +
+                               memberJson("b", "127.0.0.1:2", 1, "odd") + R"(,7,{"phase":"up"})");
     EXPECT_EQ(list.unreadable, 3u);
     ASSERT_EQ(list.entries.size(), 2u);
     EXPECT_EQ(list.entries[0].lifecycle, Lifecycle::Ready);
@@ -178,86 +179,86 @@
 
 class ListTest : public PlatformTest {
   protected:
-    std::string drained() { return listText(43, false, member("s-1", disk->address(), 0, "draining")); }
+    std::string drained() { return listJson(43, false, memberJson("s-1", disk->address(), 0, "draining")); }
     // Whether a request goes to the disk server.
     bool goesOut(const std::string& id) {
         auto c = client();
         const auto before = disk->requests();
-        c->say(requestText({.id = id, .timeout = "200"}));
-        EXPECT_TRUE(turn([&] { return disk->requests() > before || c->answered(); }));
+        c->send(requestText({.id = id, .timeout = "200"}));
+        EXPECT_TRUE(runLoopUntil([&] { return disk->requests() > before || c->answered(); }));
         return disk->requests() > before;
     }
     std::size_t watches() const { return discovery->requests(); }
 };
 
 TEST_F(ListTest, ListsMayComeIndentedAndInPieces) {
-    start();
+    startUntilReady();
     EXPECT_TRUE(goesOut("a"));
     std::string indented = drained();
     for (std::size_t at = 0; (at = indented.find_first_of(",{", at)) != indented.npos; at += 4)
         indented.insert(at + 1, "\n  ");
     for (std::size_t at = 0; at < indented.size(); at += 11)
-        discovery->last().say(piece(indented.substr(at, 11)));
-    ASSERT_TRUE(turn([&] { return !goesOut("b"); }));
-    pass(50);
+        discovery->last().send(httpChunk(indented.substr(at, 11)));
+    ASSERT_TRUE(runLoopUntil([&] { return !goesOut("b"); }));
+    runLoopFor(50);
     EXPECT_EQ(watches(), 1u);  // nothing had to be asked for again
 }
 
 // Guards against a watch that fell silent: told 6 s later at the latest though two tries fail, while half a
 // line that drips says nothing either.
 TEST_F(ListTest, ASilentWatchIsOpenedAnewInTimeThoughTwoTriesFail) {
-    start();
+    startUntilReady();
     auto& silent = discovery->last();
     const double from = io::nowMs();
     double dripped = 0;
-    ASSERT_TRUE(turn(
+    ASSERT_TRUE(runLoopUntil(
         [&] {
-            if (io::nowMs() > dripped + 100) silent.say(piece(" ")), dripped = io::nowMs();
+            if (io::nowMs() > dripped + 100) silent.send(httpChunk(" ")), dripped = io::nowMs();
             return watches() == 4;
         },
         6000));
     EXPECT_LT(io::nowMs() - from, 5500);
-    EXPECT_FALSE(silent.closed && discovery->taken.size() < 4);
-    discovery->last().say(std::string(kWatchHead) + chunk(drained()));
-    ASSERT_TRUE(turn([&] { return !goesOut("a"); }));
+    EXPECT_FALSE(silent.closed && discovery->accepted.size() < 4);
+    discovery->last().send(std::string(kWatchResponseHead) + lineChunk(drained()));
+    ASSERT_TRUE(runLoopUntil([&] { return !goesOut("a"); }));
     EXPECT_LT(io::nowMs() - from, 6000);
     // The others are let go of.
-    ASSERT_TRUE(turn([&] {
+    ASSERT_TRUE(runLoopUntil([&] {
         std::size_t open = 0;
-        for (const auto& t : discovery->taken) open += !t->closed;
+        for (const auto& t : discovery->accepted) open += !t->closed;
         return open <= 1 + 3;  // connections to /ready are the scheduler's own
     }));
 }
 
 // Guards against a list service that was down and speaks on the old connection first: heard at once.
 TEST_F(ListTest, AnOldConnectionThatSpeaksAgainCounts) {
-    start();
+    startUntilReady();
     auto& old = discovery->last();
-    ASSERT_TRUE(turn([&] { return watches() == 3; }, 5000));
+    ASSERT_TRUE(runLoopUntil([&] { return watches() == 3; }, 5000));
     EXPECT_FALSE(old.closed);
-    old.say(chunk(drained()));
-    ASSERT_TRUE(turn([&] { return !goesOut("a"); }, 500));
+    old.send(lineChunk(drained()));
+    ASSERT_TRUE(runLoopUntil([&] { return !goesOut("a"); }, 500));
     const auto* tried = &discovery->last();
-    EXPECT_TRUE(turn([&] { return tried->closed; }));
+    EXPECT_TRUE(runLoopUntil([&] { return tried->closed; }));
 }
 
 // A new configuration counts as told 4 s later, though the first try at the new place is not answered and the
 // old one goes on speaking.
 TEST_F(ListTest, AMoveIsHeardInTimeThoughTheFirstTryFails) {
-    start();
+    startUntilReady();
     auto& old = discovery->last();
-    Server moved;
+    FakeServer moved;
     write(configuration(moved.address()));
     daemon->reload();
     const double from = io::nowMs();
-    ASSERT_TRUE(turn(
+    ASSERT_TRUE(runLoopUntil(
         [&] {
-            old.say(chunk(""));
+            old.send(lineChunk(""));
             return moved.requests() == 2;
         },
         4000));
-    moved.last().say(std::string(kWatchHead) + chunk(drained()));
-    ASSERT_TRUE(turn([&] { return !goesOut("a"); }));
+    moved.last().send(std::string(kWatchResponseHead) + lineChunk(drained()));
+    ASSERT_TRUE(runLoopUntil([&] { return !goesOut("a"); }));
     EXPECT_LT(io::nowMs() - from, 3500);
     EXPECT_TRUE(old.closed);
 }
@@ -265,16 +266,16 @@
 // Guards against the first moments of a process, in which the list it was started with may be older than what
 // the agent has: nothing is sent, and no client called, before the agent is heard.
 TEST_F(ListTest, AStartedSchedulerHearsTheListFirst) {
-    raise();
-    ASSERT_TRUE(turn([&] { return watches() == 1; }));
+    startDaemon();
+    ASSERT_TRUE(runLoopUntil([&] { return watches() == 1; }));
     EXPECT_EQ(readyStatus(), 503);
     auto early = client();
-    early->say(requestText({.id = "early", .timeout = "900"}));
-    pass(50);
+    early->send(requestText({.id = "early", .timeout = "900"}));
+    runLoopFor(50);
     EXPECT_EQ(disk->requests(), 0u);
-    discovery->last().say(std::string(kWatchHead) + chunk(drained()));
-    ASSERT_TRUE(turn([&] { return readyStatus() == 200; }));
-    ASSERT_TRUE(turn([&] { return early->answered(); }));
+    discovery->last().send(std::string(kWatchResponseHead) + lineChunk(drained()));
+    ASSERT_TRUE(runLoopUntil([&] { return readyStatus() == 200; }));
+    ASSERT_TRUE(runLoopUntil([&] { return early->answered(); }));
     EXPECT_EQ(disk->requests(), 0u);
 }
 
@@ -284,50 +285,53 @@
 // (Before, this test asked for the opposite: that the list be used after 2.5 s. That broke the drain rule,
 // see docs/incidents/2026-12-03-start-in-an-outage.md.)
 TEST_F(ListTest, AStartDuringAnOutageIsReadyInTimeAndSendsNothingWithoutAWord) {
-    raise();
+    startDaemon();
     const double from = io::nowMs();
-    ASSERT_TRUE(turn([&] { return readyStatus() == 200; }, 6500));
+    ASSERT_TRUE(runLoopUntil([&] { return readyStatus() == 200; }, 6500));
     EXPECT_LT(io::nowMs() - from, 6000);
     auto refused = client();
-    refused->say(requestText({.id = "refused", .timeout = "600"}));
-    ASSERT_TRUE(turn([&] { return refused->answered(); }));
+    refused->send(requestText({.id = "refused", .timeout = "600"}));
+    ASSERT_TRUE(runLoopUntil([&] { return refused->answered(); }));
     EXPECT_EQ(refused->status(), 503);
     EXPECT_EQ(disk->requests(), 0u);
     auto waiting = client();
-    waiting->say(requestText({.id = "waiting", .timeout = "2500"}));
-    pass(200);
+    waiting->send(requestText({.id = "waiting", .timeout = "2500"}));
+    runLoopFor(200);
     EXPECT_EQ(disk->requests(), 0u);
-    discovery->onRequest = [](Taken& t) { t.say(std::string(kWatchHead) + chunk("")); };
-    discovery->last().say(std::string(kWatchHead) + chunk(""));
-    EXPECT_TRUE(turn([&] { return disk->requests() == 1; }));
+    discovery->onRequest = [](AcceptedConnection& t) {
+        t.send(std::string(kWatchResponseHead) + lineChunk(""));
+    };
+    discovery->last().send(std::string(kWatchResponseHead) + lineChunk(""));
+    EXPECT_TRUE(runLoopUntil([&] { return disk->requests() == 1; }));
 }
 
 // A list service that is slow: a long list arrives over 9 s, on each connection from its start. It is taken.
 TEST_F(ListTest, ALongListThatArrivesSlowlyIsTaken) {
-    start();
-    disk->onRequest = [](Taken& t) { t.say(served("x")); };
+    startUntilReady();
+    disk->onRequest = [](AcceptedConnection& t) { t.send(okResponse("x")); };
     struct Feed {
-        Taken* to;
+        AcceptedConnection* to;
         std::size_t next;
         double at;
     };
     std::vector<Feed> feeds;
-    discovery->onRequest = [&](Taken& t) {
-        t.say(kWatchHead);
+    discovery->onRequest = [&](AcceptedConnection& t) {
+        t.send(kWatchResponseHead);
         feeds.push_back({&t, 0, io::nowMs()});
     };
-    std::string members = member("s-1", disk->address(), 0, "draining");
-    for (int i = 0; i < 4000; ++i) members += "," + member("x-" + std::to_string(i), disk->address(), 9 + i);
-    const auto list = listText(43, true, members) + "\n";
+    std::string members = memberJson("s-1", disk->address(), 0, "draining");
+    for (int i = 0; i < 4000; ++i)
+        members += "," + memberJson("x-" + std::to_string(i), disk->address(), 9 + i);
+    const auto list = listJson(43, true, members) + "\n";
     const std::size_t pieceSize = list.size() / 90 + 1;
     const double from = io::nowMs();
     bool drained = false;
     double asked = from;
-    ASSERT_TRUE(turn(
+    ASSERT_TRUE(runLoopUntil(
         [&] {
             for (auto& f : feeds)
                 if (!f.to->closed && f.next < list.size() && io::nowMs() >= f.at) {
-                    f.to->say(piece(list.substr(f.next, pieceSize)));
+                    f.to->send(httpChunk(list.substr(f.next, pieceSize)));
                     f.next += pieceSize;
                     f.at += 100;
                 }
@@ -340,16 +344,16 @@
 
 // A list service that is crowded: each connection gets its answer 5.6 s after it asked.
 TEST_F(ListTest, AListServiceThatAnswersLateIsHeard) {
-    start();
-    disk->onRequest = [](Taken& t) { t.say(served("x")); };
-    std::vector<std::pair<Taken*, double>> late;
-    discovery->onRequest = [&](Taken& t) { late.emplace_back(&t, io::nowMs() + 5600); };
+    startUntilReady();
+    disk->onRequest = [](AcceptedConnection& t) { t.send(okResponse("x")); };
+    std::vector<std::pair<AcceptedConnection*, double>> late;
+    discovery->onRequest = [&](AcceptedConnection& t) { late.emplace_back(&t, io::nowMs() + 5600); };
     double asked = io::nowMs();
-    ASSERT_TRUE(turn(
+    ASSERT_TRUE(runLoopUntil(
         [&] {
             for (auto& [t, at] : late)
                 if (at > 0 && io::nowMs() >= at && !t->closed) {
-                    t->say(std::string(kWatchHead) + chunk(drained()));
+                    t->send(std::string(kWatchResponseHead) + lineChunk(drained()));
                     at = 0;
                 }
             if (io::nowMs() < asked + 500) return false;
--- a/tests/gateway/platform_orders_test.cpp
+++ b/tests/gateway/platform_orders_test.cpp
@@ -31,7 +31,7 @@
 class Orders : public PlatformTest, public ::testing::WithParamInterface<unsigned> {
   protected:
     struct Disk {
-        std::unique_ptr<Server> server;
+        std::unique_ptr<FakeServer> server;
         std::string id;
         int cell = 0;
         bool drained = false;
@@ -41,13 +41,13 @@
 
     void addDisk(int cell) {
         auto d = std::make_shared<Disk>();
-        d->server = std::make_unique<Server>();
+        d->server = std::make_unique<FakeServer>();
         d->id = "s-" + std::to_string(disks_.size());
         d->cell = cell;
         disks_.push_back(d);
-        d->server->onRequest = [this, d = d.get()](Taken& t) { arrived(*d, t); };
+        d->server->onRequest = [this, d = d.get()](AcceptedConnection& t) { arrived(*d, t); };
     }
-    void arrived(Disk& d, Taken& t) {
+    void arrived(Disk& d, AcceptedConnection& t) {
         const auto id = *t.heads.back().find("X-Request-ID");
         const double now = io::nowMs();
         if (d.drained && now > d.toldAt + kGraceMs) wrong("sent to a drained node: " + id);
@@ -57,45 +57,46 @@
                     wrong("sent after its client had gone: " + id);
         switch (draw(12)) {
             case 0:
-                return t.say("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n");
+                return t.send("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n");
             case 1:
-                return ++runs_[id], t.say("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
+                return ++runs_[id], t.send("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
             case 2:
                 return ++runs_[id], t.connection->reset();
             case 3:
                 return ++runs_[id], t.connection->close();
             case 4:
                 ++runs_[id];
-                t.say("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nhalf");
+                t.send("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nhalf");
                 return t.connection->reset();
             case 5:
                 ++runs_[id];
-                t.say("HTTP/1.1 200 OK\r\n\r\n" + id);
+                t.send("HTTP/1.1 200 OK\r\n\r\n" + id);
                 return t.connection->shutdownWrite();
             case 6:
                 return void(++runs_[id]);  // hangs
             case 7:
                 ++runs_[id];
-                return t.say("noise\r\n\r\n");
+                return t.send("noise\r\n\r\n");
             default:
                 ++runs_[id];
-                return t.say(served(id));
+                return t.send(okResponse(id));
         }
     }
     std::string members() const {
         std::string out;
         for (const auto& d : disks_)
-            if (!d->drained) out += (out.empty() ? "" : ",") + member(d->id, d->server->address(), d->cell);
+            if (!d->drained)
+                out += (out.empty() ? "" : ",") + memberJson(d->id, d->server->address(), d->cell);
         return out;
     }
     void tell(const std::string& list) {
         for (auto& place : places_)
-            if (place->lastTaken && !place->lastTaken->closed) place->last().say(chunk(list));
+            if (place->lastActive && !place->lastActive->closed) place->last().send(lineChunk(list));
     }
     void openPlace() {
-        places_.push_back(std::make_unique<Server>());
-        places_.back()->onRequest = [this](Taken& t) {
-            t.say(std::string(kWatchHead) + chunk(listText(revision_, true, members())));
+        places_.push_back(std::make_unique<FakeServer>());
+        places_.back()->onRequest = [this](AcceptedConnection& t) {
+            t.send(std::string(kWatchResponseHead) + lineChunk(listJson(revision_, true, members())));
         };
     }
     std::string next(Talker& t) {
@@ -108,7 +109,7 @@
         return requestText(
             {.method = a.once ? "PUT" : "GET",
              .path = a.once ? "/once" : "/read",
-             .klass = a.once ? "once" : "read",
+             .requestClass = a.once ? "once" : "read",
              .id = a.id,
              .timeout = std::to_string(static_cast<int>(a.ttl)),
              .io = "volume=00000003b4d60021,units=2,shard=" + std::to_string(draw(3)) + ",hosts=1",
@@ -124,12 +125,12 @@
             if (!t.unsaid.empty()) {
                 const auto n =
                     std::min<std::size_t>(t.unsaid.size(), static_cast<std::size_t>(1 + draw(400)));
-                t.client.say(t.unsaid.substr(0, n));
+                t.client.send(t.unsaid.substr(0, n));
                 t.unsaid.erase(0, n);
                 if (t.unsaid.empty()) t.asked.back().at = io::nowMs();  // its time counts from its last byte
             } else if (what < 13) {
-                t.client.say(next(t));
-                if (draw(6) == 0) t.client.say(next(t));
+                t.client.send(next(t));
+                if (draw(6) == 0) t.client.send(next(t));
             } else if (what == 13) t.unsaid = next(t);
             else if (what == 14) {
                 for (auto& a : t.asked) a.left = true, a.leftAt = io::nowMs();
@@ -147,14 +148,14 @@
             ++revision_;
             // Its successor is told with it or some time later: meanwhile the requests of the cell wait.
             const auto& added = *disks_.back();
-            const auto gone = member(d.id, d.server->address(), d.cell, draw(2) ? "draining" : "removed");
-            const auto successor = member(added.id, added.server->address(), added.cell);
-            if (draw(2)) return tell(listText(revision_, false, gone + "," + successor));
+            const auto gone = memberJson(d.id, d.server->address(), d.cell, draw(2) ? "draining" : "removed");
+            const auto successor = memberJson(added.id, added.server->address(), added.cell);
+            if (draw(2)) return tell(listJson(revision_, false, gone + "," + successor));
             later_.push_back(successor);
-            return tell(listText(revision_, false, gone));
+            return tell(listJson(revision_, false, gone));
         }
         if (what > 20 && !later_.empty()) {
-            tell(listText(++revision_, false, later_.front()));
+            tell(listJson(++revision_, false, later_.front()));
             return void(later_.erase(later_.begin()));
         }
         if (what == 18 && places_.size() < 3) {  // the list service moves
@@ -162,7 +163,7 @@
             write(configuration(places_.back()->address()));
             return daemon->reload();
         }
-        if (what == 19 && places_.back()->lastTaken) return places_.back()->last().connection->reset();
+        if (what == 19 && places_.back()->lastActive) return places_.back()->last().connection->reset();
         if (what == 20) return tell("");
     }
     void wrong(const std::string& words) { ADD_FAILURE() << "seed " << GetParam() << ": " << words; }
@@ -197,7 +198,7 @@
 
     std::mt19937 random_{GetParam()};
     std::vector<std::shared_ptr<Disk>> disks_;
-    std::vector<std::unique_ptr<Server>> places_;
+    std::vector<std::unique_ptr<FakeServer>> places_;
     std::vector<std::unique_ptr<Talker>> talkers_;
     std::map<std::string, int> runs_;
     std::vector<std::string> later_;
@@ -207,16 +208,16 @@
 TEST_P(Orders, KeepTheRules) {
     for (int cell = 0; cell < 3; ++cell) addDisk(cell);
     openPlace();
-    known = listText(1, true, "");
+    known = listJson(1, true, "");
     write(configuration(places_[0]->address()));
     daemon = std::make_unique<PlatformDaemon>(file, Environment{}, loop);
-    ASSERT_TRUE(turn([&] { return readyStatus() == 200; }));
+    ASSERT_TRUE(runLoopUntil([&] { return readyStatus() == 200; }));
     for (const double until = io::nowMs() + 1500; io::nowMs() < until;) {
         act();
-        pass(draw(6));
+        runLoopFor(draw(6));
     }
     // All that was asked has its answer by its time and a little.
-    ASSERT_TRUE(turn(
+    ASSERT_TRUE(runLoopUntil(
         [&] {
             double last = 0;
             for (const auto& t : talkers_)
@@ -228,9 +229,9 @@
     daemon->stop();
     for (const double until = io::nowMs() + 2700; io::nowMs() < until;) {
         act();
-        pass(draw(6));
+        runLoopFor(draw(6));
     }
-    pass(350);  // the kill comes 3,200 ms after the word
+    runLoopFor(350);  // the kill comes 3,200 ms after the word
     judge(true);
 }
 
--- a/tests/gateway/platform_outcomes_test.cpp
+++ b/tests/gateway/platform_outcomes_test.cpp
@@ -54,22 +54,22 @@
         const std::string writes = "\"class-writes\":[false,true]";
         settings.replace(settings.find(writes), writes.size(), "\"class-writes\":[false,true,true]");
     }
-    static void make(Trouble trouble, Taken& t) {
-        const auto good = served("x");
+    static void make(Trouble trouble, AcceptedConnection& t) {
+        const auto good = okResponse("x");
         switch (trouble) {
             case Trouble::NotProcessed:
-                return t.say("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n");
+                return t.send("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n");
             case Trouble::ErrorStatus:
-                return t.say("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
+                return t.send("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
             case Trouble::Reset:
                 return t.connection->reset();
             case Trouble::CutAnswer:
-                t.say(good.substr(0, good.size() - 1));
+                t.send(good.substr(0, good.size() - 1));
                 return t.connection->close();
             case Trouble::Noise:
-                return t.say("\x01\x02 noise\r\n\r\n");
+                return t.send("\x01\x02 noise\r\n\r\n");
             case Trouble::TooLong:
-                return t.say("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx");
+                return t.send("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx");
             case Trouble::Silence:
                 return;
         }
@@ -79,20 +79,20 @@
 TEST_P(OutcomeTable, EndsAsItsEffectAllows) {
     const auto& [row, effect] = GetParam();
     std::size_t attempts = 0;
-    disk->onRequest = [&, trouble = row.trouble](Taken& t) {
+    disk->onRequest = [&, trouble = row.trouble](AcceptedConnection& t) {
         if (attempts++ == 0) make(trouble, t);
-        else t.say(served("x"));
+        else t.send(okResponse("x"));
     };
-    start();
+    startUntilReady();
     auto c = client();
     const bool write = std::string(effect.name) != "read";
-    c->say(requestText({.method = write ? "PUT" : "GET",
-                        .path = std::string("/") + effect.name,
-                        .klass = effect.name,
-                        .id = "a",
-                        .timeout = "1500",
-                        .body = write ? "data" : ""}));
-    ASSERT_TRUE(turn([&] { return c->answered(); }, 4000));
+    c->send(requestText({.method = write ? "PUT" : "GET",
+                         .path = std::string("/") + effect.name,
+                         .requestClass = effect.name,
+                         .id = "a",
+                         .timeout = "1500",
+                         .body = write ? "data" : ""}));
+    ASSERT_TRUE(runLoopUntil([&] { return c->answered(); }, 4000));
     if (row.mayHaveRun && !effect.repeatable) {
         EXPECT_EQ(attempts, 1u);
         EXPECT_EQ(c->status(), 502);
@@ -104,7 +104,7 @@
         EXPECT_EQ(c->status(), 200);
         EXPECT_EQ(attempts, 2u);
     }
-    pass(300);  // and nothing is sent after its end
+    runLoopFor(300);  // and nothing is sent after its end
     EXPECT_LE(attempts, 2u);
 }
 INSTANTIATE_TEST_SUITE_P(All, OutcomeTable,
--- a/tests/gateway/platform_support.hpp
+++ b/tests/gateway/platform_support.hpp
@@ -19,15 +19,15 @@
 
 // Turns the loop until the condition holds; false after `ms`.
 template <class Condition>
-bool turn(Condition condition, double ms = 3000) {
+bool runLoopUntil(Condition condition, double ms = 3000) {
     for (const double until = io::nowMs() + ms; !condition();) {
         if (io::nowMs() > until) return false;
         g_main_context_iteration(nullptr, FALSE);
     }
     return true;
 }
-inline void pass(double ms) {
-    turn([] { return false; }, ms);
+inline void runLoopFor(double ms) {
+    runLoopUntil([] { return false; }, ms);
 }
 
 inline int freePort() {
@@ -36,45 +36,45 @@
 }
 
 // What came on one accepted connection.
-struct Taken {
+struct AcceptedConnection {
     std::shared_ptr<io::Connection> connection;
     wire::http::Parser parser{wire::http::Parser::Kind::Request};
     std::vector<wire::http::Head> heads;
     std::vector<std::string> bodies;
     std::string body;
     bool closed = false;
-    void say(const std::string& bytes) {
+    void send(const std::string& bytes) {
         connection->write(bytes);
         connection->flush();
     }
 };
 
 // Accepts, reads requests and keeps them. Answers only where the test says so.
-class Server {
+class FakeServer {
   public:
-    explicit Server(int port = 0)
+    explicit FakeServer(int port = 0)
         : listener_({"127.0.0.1", port}, [this](std::shared_ptr<io::Connection> c) {
-              auto t = std::make_shared<Taken>();
+              auto t = std::make_shared<AcceptedConnection>();
               t->connection = c;
-              taken.push_back(t);
-              c->handle({{},
-                         [this, t = t.get()](std::string_view bytes) { read(*t, bytes); },
-                         {},
-                         [t = t.get()](io::Closed) { t->closed = true; }});
+              accepted.push_back(t);
+              c->setHandler({{},
+                             [this, t = t.get()](std::string_view bytes) { read(*t, bytes); },
+                             {},
+                             [t = t.get()](io::DisconnectReason) { t->closed = true; }});
           }) {}
     std::string address() const { return "127.0.0.1:" + std::to_string(listener_.port()); }
     std::size_t requests() const {
         std::size_t n = 0;
-        for (const auto& t : taken) n += t->heads.size();
+        for (const auto& t : accepted) n += t->heads.size();
         return n;
     }
-    Taken& last() { return *lastTaken; }
-    std::vector<std::shared_ptr<Taken>> taken;
-    Taken* lastTaken = nullptr;  // on which a request came last
-    std::function<void(Taken&)> onRequest;
+    AcceptedConnection& last() { return *lastActive; }
+    std::vector<std::shared_ptr<AcceptedConnection>> accepted;
+    AcceptedConnection* lastActive = nullptr;  // on which a request came last
+    std::function<void(AcceptedConnection&)> onRequest;
 
   private:
-    void read(Taken& t, std::string_view bytes) {
+    void read(AcceptedConnection& t, std::string_view bytes) {
         using Got = wire::http::Parser::Got;
         std::string_view part;
         for (;;) switch (t.parser.next(bytes, part)) {
@@ -87,7 +87,7 @@
                     t.heads.push_back(t.parser.head());
                     t.bodies.push_back(std::exchange(t.body, {}));
                     t.parser.reset();
-                    lastTaken = &t;
+                    lastActive = &t;
                     if (onRequest) onRequest(t);
                     break;
                 default:
@@ -101,13 +101,13 @@
 struct Client {
     explicit Client(int port) {
         connection = io::Connection::dial({"127.0.0.1", port});
-        connection->handle({[this] { connected = true; },
-                            [this](std::string_view bytes) { got += bytes; },
-                            {},
-                            [this](io::Closed) { closed = true; }});
+        connection->setHandler({[this] { connected = true; },
+                                [this](std::string_view bytes) { got += bytes; },
+                                {},
+                                [this](io::DisconnectReason) { closed = true; }});
     }
     ~Client() { connection->close(); }
-    void say(const std::string& bytes) {
+    void send(const std::string& bytes) {
         connection->write(bytes);
         connection->flush();
     }
@@ -122,50 +122,50 @@
     bool connected = false, closed = false;
 };
 
-struct Fields {
-    std::string method = "GET", path = "/read", klass = "read", plan = "open", id = "",
+struct RequestFields {
+    std::string method = "GET", path = "/read", requestClass = "read", plan = "open", id = "",
                 key = "7f3a9c21e0b4d655";
     std::string timeout = "900", io = "volume=00000003b4d60021,units=2,shard=0,hosts=1", body = "";
 };
-inline std::string requestText(const Fields& f) {
+inline std::string requestText(const RequestFields& f) {
     std::string out = f.method + " " + f.path + " HTTP/1.1\r\nHost: service.internal\r\n";
     if (!f.id.empty()) out += "X-Request-ID: " + f.id + "\r\n";
-    out += "X-Priority-Class: " + f.klass + "\r\nX-Plan: " + f.plan + "\r\nCookie: block=" + f.key +
+    out += "X-Priority-Class: " + f.requestClass + "\r\nX-Plan: " + f.plan + "\r\nCookie: block=" + f.key +
            "\r\nX-Timeout-Ms: " + f.timeout + "\r\nX-IO: " + f.io + "\r\n";
     if (f.method != "GET" || !f.body.empty())
         out += "Content-Length: " + std::to_string(f.body.size()) + "\r\n";
     return out + "\r\n" + f.body;
 }
-inline std::string served(const std::string& body, const std::string& fields = "") {
+inline std::string okResponse(const std::string& body, const std::string& fields = "") {
     return "HTTP/1.1 200 OK\r\n" + fields + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
            body;
 }
 
-inline std::string member(const std::string& id, const std::string& address, int cell,
-                          const std::string& phase = "up") {
+inline std::string memberJson(const std::string& id, const std::string& address, int cell,
+                              const std::string& phase = "up") {
     return R"({"id":")" + id + R"(","host_port":")" + address + R"(","locality":"a","flavor":"m2","cell":)" +
            std::to_string(cell) + R"(,"phase":")" + phase + R"(","size":1.0,"up_since_ms":0})";
 }
-inline std::string listText(int revision, bool complete, const std::string& members) {
+inline std::string listJson(int revision, bool complete, const std::string& members) {
     return R"({"revision":)" + std::to_string(revision) + R"(,"complete":)" + (complete ? "true" : "false") +
            R"(,"members":[)" + members + "]}";
 }
-inline std::string piece(const std::string& bytes) {
+inline std::string httpChunk(const std::string& bytes) {
     char size[16];
     std::snprintf(size, sizeof size, "%zx", bytes.size());
     return std::string(size) + "\r\n" + bytes + "\r\n";
 }
-inline std::string chunk(const std::string& line) { return piece(line + "\n"); }
-constexpr const char* kWatchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+inline std::string lineChunk(const std::string& line) { return httpChunk(line + "\n"); }
+constexpr const char* kWatchResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 // A scheduler with one disk server, in cell 0.
 class PlatformTest : public ::testing::Test {
   protected:
     void SetUp() override {
         port = freePort();
-        disk = std::make_unique<Server>();
-        discovery = std::make_unique<Server>();
-        known = listText(41, true, member("s-1", disk->address(), 0));
+        disk = std::make_unique<FakeServer>();
+        discovery = std::make_unique<FakeServer>();
+        known = listJson(41, true, memberJson("s-1", disk->address(), 0));
     }
     void TearDown() override {
         if (daemon) {
@@ -178,21 +178,21 @@
                R"(},"known":)" + known + R"(,"settings":)" + settings + "}";
     }
     void write(const std::string& text) const { std::ofstream(file) << text; }
-    void raise() {
+    void startDaemon() {
         write(configuration(discovery->address()));
         daemon = std::make_unique<PlatformDaemon>(file, Environment{}, loop);
     }
     // Raised, and its list service has said that nothing changed: it is ready.
-    void start() {
-        raise();
-        ASSERT_TRUE(turn([&] { return discovery->requests() == 1; }));
-        discovery->last().say(std::string(kWatchHead) + chunk(""));
-        ASSERT_TRUE(turn([&] { return readyStatus() == 200; }));
+    void startUntilReady() {
+        startDaemon();
+        ASSERT_TRUE(runLoopUntil([&] { return discovery->requests() == 1; }));
+        discovery->last().send(std::string(kWatchResponseHead) + lineChunk(""));
+        ASSERT_TRUE(runLoopUntil([&] { return readyStatus() == 200; }));
     }
     int readyStatus() {
         Client c(port);
-        c.say("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-        return turn([&] { return c.answered() || c.closed; }) ? c.status() : 0;
+        c.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+        return runLoopUntil([&] { return c.answered() || c.closed; }) ? c.status() : 0;
     }
     std::unique_ptr<Client> client() { return std::make_unique<Client>(port); }
 
@@ -210,7 +210,7 @@
         "domain":{"class-writes":[false,true],"mean-units":2.0,"units-top":6,"use-period-ms":1000.0},
         "peers-total":1,"rank":0,"tick-ms":2.0,"rules":{"grace-to-answer-ms":8.0,"drain-grace-ms":2000.0}})";
     io::Loop loop;
-    std::unique_ptr<Server> disk, discovery;
+    std::unique_ptr<FakeServer> disk, discovery;
     std::unique_ptr<PlatformDaemon> daemon;
 };
 
--- a/tests/gateway/platform_test.cpp
+++ b/tests/gateway/platform_test.cpp
@@ -12,18 +12,18 @@
 namespace {
 
 TEST_F(PlatformTest, ARequestGoesOutUnchangedAndItsAnswerComesBack) {
-    start();
+    startUntilReady();
     auto c = client();
-    c->say("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-    ASSERT_TRUE(turn([&] { return c->answered(); }));
+    c->send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+    ASSERT_TRUE(runLoopUntil([&] { return c->answered(); }));
     EXPECT_EQ(c->status(), 200);
     c->got.clear();
-    c->say(requestText({.method = "PUT",
-                        .path = "/once/a?b=c",
-                        .klass = "once",
-                        .id = "9b1f03aa5c7e2d41",
-                        .body = "bytes"}));
-    ASSERT_TRUE(turn([&] { return disk->requests() == 1; }));
+    c->send(requestText({.method = "PUT",
+                         .path = "/once/a?b=c",
+                         .requestClass = "once",
+                         .id = "9b1f03aa5c7e2d41",
+                         .body = "bytes"}));
+    ASSERT_TRUE(runLoopUntil([&] { return disk->requests() == 1; }));
     const auto& head = disk->last().heads[0];
     EXPECT_EQ(head.method, "PUT");
     EXPECT_EQ(head.target, "/once/a?b=c");
@@ -31,35 +31,35 @@
     EXPECT_LE(std::stoi(*head.find("X-Timeout-Ms")), 900);
     EXPECT_GT(std::stoi(*head.find("X-Timeout-Ms")), 500);
     EXPECT_EQ(disk->last().bodies[0], "bytes");
-    disk->last().say(served("answer"));
-    ASSERT_TRUE(turn([&] { return c->got.find("answer") != std::string::npos; }));
+    disk->last().send(okResponse("answer"));
+    ASSERT_TRUE(runLoopUntil([&] { return c->got.find("answer") != std::string::npos; }));
     EXPECT_EQ(c->status(), 200);
     // Both connections are kept.
-    pass(20);
+    runLoopFor(20);
     c->got.clear();
-    c->say(requestText({.id = "b"}));
-    ASSERT_TRUE(turn([&] { return disk->requests() == 2; }));
-    disk->last().say(served("2"));
-    ASSERT_TRUE(turn([&] { return c->status() == 200; }));
-    EXPECT_EQ(disk->taken.size(), 1u);
+    c->send(requestText({.id = "b"}));
+    ASSERT_TRUE(runLoopUntil([&] { return disk->requests() == 2; }));
+    disk->last().send(okResponse("2"));
+    ASSERT_TRUE(runLoopUntil([&] { return c->status() == 200; }));
+    EXPECT_EQ(disk->accepted.size(), 1u);
 }
 
 TEST_F(PlatformTest, RefusedIs503WithATimeAndFailedIsNot) {
-    start();
+    startUntilReady();
     auto c = client();
-    disk->onRequest = [](Taken& t) { t.say("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"); };
-    c->say(requestText({.method = "PUT", .path = "/once", .klass = "once", .id = "a"}));
-    ASSERT_TRUE(turn([&] { return c->answered(); }));
+    disk->onRequest = [](AcceptedConnection& t) { t.send("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"); };
+    c->send(requestText({.method = "PUT", .path = "/once", .requestClass = "once", .id = "a"}));
+    ASSERT_TRUE(runLoopUntil([&] { return c->answered(); }));
     EXPECT_EQ(c->status(), 502);  // it may have run
-    disk->onRequest = [](Taken& t) { t.say(served("x")); };
+    disk->onRequest = [](AcceptedConnection& t) { t.send(okResponse("x")); };
     std::vector<std::unique_ptr<Client>> many;
     for (int i = 0; i < 30; ++i) {
         many.push_back(client());
-        many.back()->say(requestText({.plan = "limited",
-                                      .id = "l" + std::to_string(i),
-                                      .io = "volume=00000003b4d60022,units=2,shard=0,hosts=1"}));
+        many.back()->send(requestText({.plan = "limited",
+                                       .id = "l" + std::to_string(i),
+                                       .io = "volume=00000003b4d60022,units=2,shard=0,hosts=1"}));
     }
-    ASSERT_TRUE(turn([&] {
+    ASSERT_TRUE(runLoopUntil([&] {
         for (const auto& m : many)
             if (!m->answered()) return false;
         return true;
@@ -71,22 +71,24 @@
 }
 
 TEST_F(PlatformTest, WhatNeverRanIsSentAgainAndWhatMayHaveRunIsNot) {
-    start();
+    startUntilReady();
     auto c = client();
     int n = 0;
-    disk->onRequest = [&n](Taken& t) {
-        t.say(++n == 1 ? "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
-                       : served("x"));
+    disk->onRequest = [&n](AcceptedConnection& t) {
+        t.send(++n == 1 ? "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
+                        : okResponse("x"));
     };
-    c->say(requestText({.method = "PUT", .path = "/once", .klass = "once", .id = "a"}));
-    ASSERT_TRUE(turn([&] { return c->answered(); }));
+    c->send(requestText({.method = "PUT", .path = "/once", .requestClass = "once", .id = "a"}));
+    ASSERT_TRUE(runLoopUntil([&] { return c->answered(); }));
     EXPECT_EQ(c->status(), 200);
     EXPECT_EQ(n, 2);
     c->got.clear();
     n = 0;
-    disk->onRequest = [&n](Taken& t) { ++n, t.say("HTTP/1.1 503 Who knows\r\nContent-Length: 0\r\n\r\n"); };
-    c->say(requestText({.method = "PUT", .path = "/once", .klass = "once", .id = "b"}));
-    ASSERT_TRUE(turn([&] { return c->answered(); }));
+    disk->onRequest = [&n](AcceptedConnection& t) {
+        ++n, t.send("HTTP/1.1 503 Who knows\r\nContent-Length: 0\r\n\r\n");
+    };
+    c->send(requestText({.method = "PUT", .path = "/once", .requestClass = "once", .id = "b"}));
+    ASSERT_TRUE(runLoopUntil([&] { return c->answered(); }));
     EXPECT_EQ(c->status(), 502);
     EXPECT_EQ(n, 1);
 }
@@ -94,14 +96,15 @@
 // Guards against a keyed request that reaches its disk server without the key by which that knows repeats:
 // what isn't known here goes on, what belongs to the client's connection doesn't, and nothing is said twice.
 TEST_F(PlatformTest, FieldsThatAreNotKnownHereGoOnToTheDiskServer) {
-    start();
+    startUntilReady();
     auto c = client();
-    auto text = requestText({.method = "PUT", .path = "/once", .klass = "once", .id = "a", .body = "b"});
+    auto text =
+        requestText({.method = "PUT", .path = "/once", .requestClass = "once", .id = "a", .body = "b"});
     text.insert(text.find("X-Plan"),
                 "Idempotency-Key: k-1\r\nX-Odd:  two words \r\nX-Hop: h\r\nTE: trailers\r\n"
                 "Connection: keep-alive, x-hop\r\nExpect: 100-continue\r\n");
-    c->say(text);
-    ASSERT_TRUE(turn([&] { return disk->requests() == 1; }));
+    c->send(text);
+    ASSERT_TRUE(runLoopUntil([&] { return disk->requests() == 1; }));
     const auto& head = disk->last().heads[0];
     ASSERT_TRUE(head.find("Idempotency-Key") && head.find("X-Odd"));
     EXPECT_EQ(*head.find("Idempotency-Key"), "k-1");
@@ -117,75 +120,77 @@
 // Guards against an answer that reaches the next request: what a disk server says right after its answer, in
 // a piece of its own, finds nobody on the connection.
 TEST_F(PlatformTest, WhatComesRightAfterAnAnswerReachesNobody) {
-    start();
+    startUntilReady();
     auto c = client(), d = client();
-    c->say(requestText({.id = "a"}));
-    ASSERT_TRUE(turn([&] { return disk->requests() == 1; }));
+    c->send(requestText({.id = "a"}));
+    ASSERT_TRUE(runLoopUntil([&] { return disk->requests() == 1; }));
     auto& first = disk->last();
-    first.say(served("first"));
-    ASSERT_TRUE(turn([&] { return c->answered(); }));
-    d->say(requestText({.id = "b"}));  // at once
-    ASSERT_TRUE(turn([&] { return disk->requests() == 2; }));
-    first.say(served("first"));
-    pass(20);
+    first.send(okResponse("first"));
+    ASSERT_TRUE(runLoopUntil([&] { return c->answered(); }));
+    d->send(requestText({.id = "b"}));  // at once
+    ASSERT_TRUE(runLoopUntil([&] { return disk->requests() == 2; }));
+    first.send(okResponse("first"));
+    runLoopFor(20);
     EXPECT_FALSE(d->answered());
-    disk->last().say(served("second"));
-    ASSERT_TRUE(turn([&] { return d->answered(); }));
+    disk->last().send(okResponse("second"));
+    ASSERT_TRUE(runLoopUntil([&] { return d->answered(); }));
     EXPECT_NE(d->got.find("second"), std::string::npos);
     EXPECT_TRUE(first.closed);
 }
 
 TEST_F(PlatformTest, AClientThatLeavesFreesItsId) {
-    start();
+    startUntilReady();
     auto c = client();
-    c->say(requestText({.id = "a"}));
-    ASSERT_TRUE(turn([&] { return disk->requests() == 1; }));
+    c->send(requestText({.id = "a"}));
+    ASSERT_TRUE(runLoopUntil([&] { return disk->requests() == 1; }));
     c.reset();
     auto d = client();
-    d->say(requestText({.id = "a"}));  // the id is free again
-    ASSERT_TRUE(turn([&] { return disk->requests() == 2; }));
+    d->send(requestText({.id = "a"}));  // the id is free again
+    ASSERT_TRUE(runLoopUntil([&] { return disk->requests() == 2; }));
 }
 
 TEST_F(PlatformTest, TheWatchTellsOfChangesAndIsTakenUpAgain) {
-    known = listText(41, true, "");
-    start();
+    known = listJson(41, true, "");
+    startUntilReady();
     EXPECT_EQ(discovery->last().heads[0].target, "/v1/endpoints?stream=1&index=41");
-    discovery->last().say(chunk(listText(43, false, member("s-1", disk->address(), 0))) + "1\r\n\n\r\n");
+    discovery->last().send(lineChunk(listJson(43, false, memberJson("s-1", disk->address(), 0))) +
+                           "1\r\n\n\r\n");
     auto c = client();
-    c->say(requestText({.id = "a"}));
-    ASSERT_TRUE(turn([&] { return disk->requests() == 1; }));
+    c->send(requestText({.id = "a"}));
+    ASSERT_TRUE(runLoopUntil([&] { return disk->requests() == 1; }));
     discovery->last().connection->close();
-    ASSERT_TRUE(turn([&] { return discovery->requests() == 2; }));
+    ASSERT_TRUE(runLoopUntil([&] { return discovery->requests() == 2; }));
     EXPECT_EQ(discovery->last().heads[0].target, "/v1/endpoints?stream=1&index=43");
 }
 
 // A moved discovery: the old watch is held until the new one speaks, and a bad file changes nothing.
 TEST_F(PlatformTest, ANewConfigurationMovesTheWatch) {
-    known = listText(41, true, "");
-    start();
-    auto& old = *discovery->taken[0];
+    known = listJson(41, true, "");
+    startUntilReady();
+    auto& old = *discovery->accepted[0];
     write("{ not JSON");
     daemon->reload();
-    Server moved;
+    FakeServer moved;
     write(configuration(moved.address()));
     daemon->reload();
-    ASSERT_TRUE(turn([&] { return moved.requests() == 1; }));
+    ASSERT_TRUE(runLoopUntil([&] { return moved.requests() == 1; }));
     EXPECT_FALSE(old.closed);
-    moved.last().say(std::string(kWatchHead) + chunk(listText(44, true, member("s-1", disk->address(), 0))));
-    ASSERT_TRUE(turn([&] { return old.closed; }));
+    moved.last().send(std::string(kWatchResponseHead) +
+                      lineChunk(listJson(44, true, memberJson("s-1", disk->address(), 0))));
+    ASSERT_TRUE(runLoopUntil([&] { return old.closed; }));
     auto c = client();
-    c->say(requestText({.id = "a"}));
-    ASSERT_TRUE(turn([&] { return disk->requests() == 1; }));
+    c->send(requestText({.id = "a"}));
+    ASSERT_TRUE(runLoopUntil([&] { return disk->requests() == 1; }));
 }
 
 // Bad requests get a 4xx and their connection ends; nothing goes to a disk server. The good one goes through,
 // so that each refusal is for what was changed.
 TEST_F(PlatformTest, WhatCantBeTakenGetsAnErrorAndGoesNowhere) {
-    start();
+    startUntilReady();
     const auto good = requestText({.id = "good"});
     std::vector<std::string> bad = {
         requestText({}),
-        requestText({.path = "/nothing", .klass = "nothing", .id = "a"}),
+        requestText({.path = "/nothing", .requestClass = "nothing", .id = "a"}),
         requestText({.path = "/once", .id = "a"}),
         requestText({.plan = "nothing", .id = "a"}),
         requestText({.id = "a", .timeout = "soon"}),
@@ -216,65 +221,65 @@
     bad.push_back(with("X-Plan: limited"));
     for (const auto& text : bad) {
         auto c = client();
-        c->say(text);
-        ASSERT_TRUE(turn([&] { return c->answered() && c->closed; })) << text.substr(0, 300);
+        c->send(text);
+        ASSERT_TRUE(runLoopUntil([&] { return c->answered() && c->closed; })) << text.substr(0, 300);
         EXPECT_EQ(c->status() / 100, 4) << text.substr(0, 300);
     }
     EXPECT_EQ(disk->requests(), 0u);
     auto c = client();
-    c->say(good);
-    ASSERT_TRUE(turn([&] { return disk->requests() == 1; }));
+    c->send(good);
+    ASSERT_TRUE(runLoopUntil([&] { return disk->requests() == 1; }));
     // Its id is of an open request now: another one with it is an error, and the first goes on.
     auto d = client();
-    d->say(good);
-    ASSERT_TRUE(turn([&] { return d->answered(); }));
+    d->send(good);
+    ASSERT_TRUE(runLoopUntil([&] { return d->answered(); }));
     EXPECT_EQ(d->status(), 409);
-    disk->last().say(served("x"));
-    ASSERT_TRUE(turn([&] { return c->answered(); }));
+    disk->last().send(okResponse("x"));
+    ASSERT_TRUE(runLoopUntil([&] { return c->answered(); }));
     EXPECT_EQ(c->status(), 200);
 }
 
 // Any split of the bytes, and what comes behind an open request, waits for its turn.
 TEST_F(PlatformTest, RequestsComeInPiecesAndBehindEachOther) {
-    start();
-    disk->onRequest = [](Taken& t) { t.say(served(*t.heads.back().find("X-Request-ID"))); };
+    startUntilReady();
+    disk->onRequest = [](AcceptedConnection& t) { t.send(okResponse(*t.heads.back().find("X-Request-ID"))); };
     auto c = client();
     const auto text =
-        requestText({.method = "PUT", .path = "/once", .klass = "once", .id = "first", .body = "b"}) +
+        requestText({.method = "PUT", .path = "/once", .requestClass = "once", .id = "first", .body = "b"}) +
         requestText({.id = "second"}) + requestText({.id = "third"});
     for (std::size_t at = 0; at < text.size(); at += 37) {
-        c->say(text.substr(at, 37));
+        c->send(text.substr(at, 37));
         g_main_context_iteration(nullptr, FALSE);
     }
-    ASSERT_TRUE(turn([&] { return c->got.find("third") != std::string::npos; }));
+    ASSERT_TRUE(runLoopUntil([&] { return c->got.find("third") != std::string::npos; }));
     EXPECT_LT(c->got.find("first"), c->got.find("second"));
     EXPECT_EQ(disk->requests(), 3u);
 }
 
 // Guards against taking a long answer for a spoilt one: disk servers send more than a message's 64 KiB.
 TEST_F(PlatformTest, ALongAnswerComesBackWhole) {
-    start();
+    startUntilReady();
     const std::string body(350000, 'y');
-    disk->onRequest = [&body](Taken& t) { t.say(served(body)); };
+    disk->onRequest = [&body](AcceptedConnection& t) { t.send(okResponse(body)); };
     auto c = client();
-    c->say(requestText({.id = "a"}));
-    ASSERT_TRUE(turn([&] { return c->got.size() > body.size(); }));
+    c->send(requestText({.id = "a"}));
+    ASSERT_TRUE(runLoopUntil([&] { return c->got.size() > body.size(); }));
     EXPECT_EQ(c->status(), 200);
     EXPECT_EQ(c->got.substr(c->got.size() - body.size()), body);
 }
 
 TEST_F(PlatformTest, HalfARequestIsToldOffAndSilenceIsClosed) {
-    start();
+    startUntilReady();
     auto half = client(), silent = client();
-    half->say("GET /read HTTP/1.1\r\nHost: x\r\n");
-    ASSERT_TRUE(turn([&] { return half->closed && silent->closed; }, 4000));
+    half->send("GET /read HTTP/1.1\r\nHost: x\r\n");
+    ASSERT_TRUE(runLoopUntil([&] { return half->closed && silent->closed; }, 4000));
     EXPECT_EQ(half->status(), 408);
     EXPECT_TRUE(silent->got.empty());
 }
 
 // Answers that can't be used are failed attempts; good ones with a figure that can't be read are good.
 TEST_F(PlatformTest, SpoiltAnswersFailAndOddFiguresAreGood) {
-    start();
+    startUntilReady();
     const std::vector<std::string> spoilt = {
         "noise\r\n\r\n",
         "HTTP/1.1 200 OK\r\n" + std::string(20000, 'x'),
@@ -285,21 +290,21 @@
     };
     int n = 0;
     for (const auto& text : spoilt) {
-        disk->onRequest = [&text](Taken& t) { t.say(text); };
+        disk->onRequest = [&text](AcceptedConnection& t) { t.send(text); };
         auto c = client();
-        c->say(requestText(
-            {.method = "PUT", .path = "/once", .klass = "once", .id = "s" + std::to_string(n++)}));
-        ASSERT_TRUE(turn([&] { return c->answered(); })) << text.substr(0, 60);
+        c->send(requestText(
+            {.method = "PUT", .path = "/once", .requestClass = "once", .id = "s" + std::to_string(n++)}));
+        ASSERT_TRUE(runLoopUntil([&] { return c->answered(); })) << text.substr(0, 60);
         EXPECT_EQ(c->status(), 502) << text.substr(0, 60);
     }
     for (const auto* odd :
          {"X-Volume-Use: lots\r\n", "X-Served-Elsewhere: -3\r\n", "X-Server-Load: ???\r\n"}) {
-        disk->onRequest = [odd](Taken& t) {
-            t.say("HTTP/1.1 102 Wait\r\n\r\n" + served("fine", odd) + "more");
+        disk->onRequest = [odd](AcceptedConnection& t) {
+            t.send("HTTP/1.1 102 Wait\r\n\r\n" + okResponse("fine", odd) + "more");
         };
         auto c = client();
-        c->say(requestText({.id = "o" + std::to_string(n++)}));
-        ASSERT_TRUE(turn([&] { return c->got.find("fine") != std::string::npos; })) << odd;
+        c->send(requestText({.id = "o" + std::to_string(n++)}));
+        ASSERT_TRUE(runLoopUntil([&] { return c->got.find("fine") != std::string::npos; })) << odd;
         EXPECT_EQ(c->status(), 200);
         EXPECT_EQ(c->got.find("more"), std::string::npos);
     }
@@ -308,28 +313,28 @@
 // Guards against running out of descriptors: at the cap an idle connection to another node gives way, and
 // with none idle nothing is sent, which proves nothing against the node.
 TEST(Pool, ConnectionsToAllNodesTogetherAreBounded) {
-    Server a, b, c;
+    FakeServer a, b, c;
     nodes::PoolCaps caps;
     caps.total = 2;
     nodes::NodeClient pool(caps, nodes::gatewayDialect(""));
     std::vector<Outcome> ended;
-    const auto send = [&](const Server& to) {
+    const auto send = [&](const FakeServer& to) {
         auto x = std::make_shared<host::Exchange>();
         x->target = "/";
         pool.send(to.address(), x, {}, 2000, [&](host::AttemptResult r) { ended.push_back(r.outcome); });
     };
     send(a);
     send(b);
-    ASSERT_TRUE(turn([&] { return a.requests() + b.requests() == 2; }));
+    ASSERT_TRUE(runLoopUntil([&] { return a.requests() + b.requests() == 2; }));
     send(c);
-    ASSERT_TRUE(turn([&] { return ended.size() == 1; }));
+    ASSERT_TRUE(runLoopUntil([&] { return ended.size() == 1; }));
     EXPECT_EQ(ended[0], Outcome::NotSent);
-    EXPECT_EQ(c.taken.size(), 0u);
-    b.last().say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-    ASSERT_TRUE(turn([&] { return ended.size() == 2; }));
+    EXPECT_EQ(c.accepted.size(), 0u);
+    b.last().send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+    ASSERT_TRUE(runLoopUntil([&] { return ended.size() == 2; }));
     send(c);
-    ASSERT_TRUE(turn([&] { return c.requests() == 1; }));
-    ASSERT_TRUE(turn([&] { return b.last().closed; }));
+    ASSERT_TRUE(runLoopUntil([&] { return c.requests() == 1; }));
+    ASSERT_TRUE(runLoopUntil([&] { return b.last().closed; }));
     EXPECT_EQ(pool.connections(), 2u);
 }
 
@@ -466,18 +471,18 @@
 // scheduler that was told to stop gets no new ones, and keeps those it has.
 TEST_F(PlatformTest, AnswersEndConnectionsWherePlacesRunOutButNotWhileItStops) {
     sockets = 90;  // clients hold 30
-    start();
-    disk->onRequest = [](Taken& t) { t.say(served("x")); };
+    startUntilReady();
+    disk->onRequest = [](AcceptedConnection& t) { t.send(okResponse("x")); };
     std::vector<std::unique_ptr<Client>> clients;
     for (int i = 0; i < 28; ++i) {
         clients.push_back(client());
-        ASSERT_TRUE(turn([&] { return clients.back()->connected; }));
+        ASSERT_TRUE(runLoopUntil([&] { return clients.back()->connected; }));
     }
     const auto ask = [&](int i) {
         auto& c = *clients[static_cast<std::size_t>(i)];
         c.got.clear();
-        c.say(requestText({.id = "c" + std::to_string(i)}));
-        EXPECT_TRUE(turn([&] { return c.answered(); }));
+        c.send(requestText({.id = "c" + std::to_string(i)}));
+        EXPECT_TRUE(runLoopUntil([&] { return c.answered(); }));
         return c.got.find("Connection: close") == std::string::npos;
     };
     EXPECT_FALSE(ask(0));
@@ -519,20 +524,20 @@
 // Guards against clients that have no other scheduler losing theirs before it has to go: a kept connection is
 // served for seconds after the word to stop, with less time than its client would give.
 TEST_F(PlatformTest, AStoppingSchedulerServesKeptConnectionsUntilItHasToGo) {
-    start();
-    disk->onRequest = [](Taken& t) { t.say(served("x")); };
+    startUntilReady();
+    disk->onRequest = [](AcceptedConnection& t) { t.send(okResponse("x")); };
     auto c = client();
-    c->say(requestText({.id = "a"}));
-    ASSERT_TRUE(turn([&] { return c->answered(); }));
+    c->send(requestText({.id = "a"}));
+    ASSERT_TRUE(runLoopUntil([&] { return c->answered(); }));
     daemon->stop();
     const double from = io::nowMs();
     int n = 0;
     while (!c->closed && io::nowMs() < from + 5000) {
         c->got.clear();
-        c->say(requestText({.id = "b" + std::to_string(n), .timeout = "2500"}));
-        if (!turn([&] { return c->answered() || c->closed; })) break;
+        c->send(requestText({.id = "b" + std::to_string(n), .timeout = "2500"}));
+        if (!runLoopUntil([&] { return c->answered() || c->closed; })) break;
         if (c->status() == 200) ++n;
-        pass(40);
+        runLoopFor(40);
     }
     EXPECT_GT(io::nowMs() - from, 2000);
     EXPECT_LT(io::nowMs() - from, 2900);  // killed at 3200
@@ -540,8 +545,8 @@
     const auto& heads = disk->last().heads;
     EXPECT_LT(std::stoi(*heads.back().find("X-Timeout-Ms")), 900);
     auto ready = client();
-    ready->say("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-    turn([&] { return ready->answered() || ready->closed; });
+    ready->send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+    runLoopUntil([&] { return ready->answered() || ready->closed; });
     EXPECT_NE(ready->status(), 200);
 }
 
--- a/tests/gateway/session_model_test.cpp
+++ b/tests/gateway/session_model_test.cpp
@@ -17,7 +17,7 @@
 using namespace wire::rsync;
 using Random = std::mt19937;
 
-struct ModelPipe : io::Pipe {
+struct ModelPipe : io::ByteStream {
     std::string queue;
     std::size_t mark = 3000;
     void write(std::string bytes) override { queue += bytes; }
--- a/tests/gateway/held_door.hpp
+++ b/tests/gateway/stalled_listener.hpp
@@ -13,9 +13,9 @@
 
 namespace spokewheel::platform::testing {
 
-class HeldDoor {
+class StalledListener {
   public:
-    HeldDoor() : door_(make()) {
+    StalledListener() : door_(make()) {
         sockaddr_in a{};
         a.sin_family = AF_INET;
         a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
@@ -29,16 +29,16 @@
             connect(fillers_.back(), reinterpret_cast<sockaddr*>(&at_), sizeof at_);
         }
     }
-    ~HeldDoor() {
+    ~StalledListener() {
         for (const int fd : fillers_) close(fd);
         for (const auto& p : peers_) close(p.fd);
         close(door_);
     }
-    HeldDoor(const HeldDoor&) = delete;
-    HeldDoor& operator=(const HeldDoor&) = delete;
+    StalledListener(const StalledListener&) = delete;
+    StalledListener& operator=(const StalledListener&) = delete;
     std::string address() const { return "127.0.0.1:" + std::to_string(ntohs(at_.sin_port)); }
     // Takes who has come meanwhile, and from now on whoever comes; call again and again.
-    void letIn() {
+    void acceptConnections() {
         for (int fd; (fd = accept4(door_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0;)
             peers_.push_back({fd, {}});
         for (auto& p : peers_) {
@@ -48,7 +48,7 @@
         }
     }
     // Whether any byte of a request with this id has come.
-    bool got(const std::string& id) const {
+    bool received(const std::string& id) const {
         for (const auto& p : peers_)
             if (p.got.find("X-Request-ID: " + id + "\r\n") != std::string::npos) return true;
         return false;
