--- a/bench/module_step.cpp
+++ b/bench/module_step.cpp
@@ -11,11 +11,11 @@
     Settings s;
     s.maxAttempts = 3;
     s.meanUnits = 2;
-    s.topUnits = 8;
+    s.maxUnits = 8;
     RequestClass c;
     c.name = "view";
     c.effect = Effect::Repeatable;
-    c.aimMs = 500;
+    c.latencyTargetMs = 500;
     c.deadlineMs = 1e9;
     s.classes.push_back(c);
     Plan p;
@@ -57,11 +57,11 @@
     for (std::int64_t i = 0; i < state.range(0) + 40; ++i) run({request()});
     for (auto _ : state) {
         now += 1;
-        Verdict v;
+        AttemptEnded v;
         v.id = out.front().id;
         v.node = out.front().node;
         v.tookMs = 20;
-        v.ended = true;
+        v.requestEnded = true;
         out.erase(out.begin());
         run({v});
         run({request()});
--- a/include/spokewheel/scheduler.hpp
+++ b/include/spokewheel/scheduler.hpp
@@ -17,11 +17,11 @@
 enum class Outcome {
     Served,
     ServerError,
-    TurnedAway,
+    Rejected,
     NoAnswer,
     NoConnection,
     ConnectionLost,
-    CalledOff,
+    Cancelled,
     NotSent
 };
 
@@ -30,7 +30,7 @@
     Effect effect = Effect::Once;
     Group group = Group::All;
     double points = 1, lateWorth = 0;
-    double aimMs = 0, deadlineMs = 0, memorySpanMs = 0;
+    double latencyTargetMs = 0, deadlineMs = 0, keyRetentionMs = 0;
     bool inOrder = false, stream = false, writes = false;
 };
 
@@ -46,17 +46,18 @@
     std::vector<Plan> plans;
     int hosts = 1, rank = 0;
     bool subscribe = false;  // the node list answers only when asked
-    bool mayProbe = false, mayTellPeers = false, mayCancel = false, maySecondCopy = false;
+    bool mayProbe = false, maySendToPeers = false, mayCancel = false, maySecondCopy = false;
     int maxAttempts = 1;
     int maxOpen = 0;  // requests that can be open at this host at once; 0: not known
-    double maxHoldOffMs = 0, tickMs = 1;
-    double coldUnits = 0, coldMs = 0, coldShare = 1, tipMultiple = 1, fallMs = 0;
-    double drainGraceMs = 0, answerGraceMs = 0, askWithinMs = 0, settleMs = 0;
-    double extraFloor = 0, extraShare = 0, extraSpanMs = 0;  // a span of 0: no budget on attempts
-    double meanUnits = 1, topUnits = 1, fairWorth = 1, spareWorth = 1, meterMs = 0;
+    double maxRetryAfterMs = 0, tickMs = 1;
+    double coldUnits = 0, coldMs = 0, coldShare = 1, overloadFactor = 1, overloadSpanMs = 0;
+    double drainGraceMs = 0, answerGraceMs = 0, askWithinMs = 0, settleAfterDoubtMs = 0;
+    double retryBudgetFloor = 0, retryBudgetShare = 0,
+           retryBudgetSpanMs = 0;  // a span of 0: no budget on attempts
+    double meanUnits = 1, maxUnits = 1, fairWorth = 1, spareWorth = 1, usagePeriodMs = 0;
     std::string zone;
-    bool noteLimits = false;  // LimitNote actions are wanted
-    bool tellsBegun = false;  // the caller tells AttemptBegun
+    bool reportLimitAccounts = false;  // LimitAccount actions are wanted
+    bool reportsAttemptBegun = false;  // the caller tells AttemptBegun
 };
 
 // ---- events ----
@@ -78,20 +79,20 @@
     int shard = -1;  // -1: a new object, any node may take it
     int hosts = 1;   // through how many hosts the volume works
 };
-// The first byte of an attempt is about to be written. Told where Settings::tellsBegun; elsewhere an attempt
-// begins as it is asked for.
+// The first byte of an attempt is about to be written. Told where Settings::reportsAttemptBegun; elsewhere an
+// attempt begins as it is asked for.
 struct AttemptBegun {
     std::string id;
 };
-struct Verdict {
+struct AttemptEnded {
     std::string id, node;
     Outcome outcome = Outcome::Served;
     int attempt = 0;
     double tookMs = 0;
-    bool ended = false;
-    double usage = 0, othersGot = 0;
+    bool requestEnded = false;
+    double usage = 0, servedElsewhere = 0;
 };
-struct AnswerStarted {
+struct ResponseStarted {
     std::string id;
 };
 struct ClientGone {
@@ -108,11 +109,11 @@
     std::string bytes;
 };
 // This host ends: each request that it holds has its answer by then.
-struct AnswerBy {
+struct ShutdownDeadline {
     double atMs = 0;
 };
-using Event = std::variant<ListUpdate, Request, AttemptBegun, Verdict, AnswerStarted, ClientGone, ProbeResult,
-                           Wake, PeerMessage, AnswerBy>;
+using Event = std::variant<ListUpdate, Request, AttemptBegun, AttemptEnded, ResponseStarted, ClientGone,
+                           ProbeResult, Wake, PeerMessage, ShutdownDeadline>;
 
 // ---- actions ----
 struct Attempt {
@@ -130,7 +131,7 @@
 };
 struct Refuse {
     std::string id;
-    double holdOffMs = 0;
+    double retryAfterMs = 0;
     EndReason reason = EndReason::UnknownKind;
 };
 struct Fail {
@@ -144,22 +145,22 @@
 struct Probe {
     std::string node;
 };
-struct TellPeers {
+struct SendToPeers {
     int to = -1;  // -1: every peer
     std::string bytes;
 };
-struct Remind {
+struct SetTimer {
     double afterMs = 0;
 };
 struct Subscribe {};
 struct FetchList {};
 // What this host holds of one volume's limit; for the log alone. Units, but for `hosts`.
-struct LimitNote {
+struct LimitAccount {
     enum class Moment {
         FirstSight,  // it is met for the first time, or after it was forgotten
         Short,       // a request had to wait for it; at most once in a period of the credits
         Forgotten,   // it was idle for long
-        Asked        // by Scheduler::limitNotes
+        Asked        // by Scheduler::limitAccounts
     };
     Moment moment = Moment::Asked;
     std::int64_t volume = 0;
@@ -169,8 +170,8 @@
     double level = 0, credit = 0;  // the store as rebuilt, and what is left of the credit
     double sent = 0;               // first sends since the first sight
 };
-using Action =
-    std::variant<Attempt, Refuse, Fail, Cancel, Probe, TellPeers, Remind, Subscribe, FetchList, LimitNote>;
+using Action = std::variant<Attempt, Refuse, Fail, Cancel, Probe, SendToPeers, SetTimer, Subscribe, FetchList,
+                            LimitAccount>;
 
 class Scheduler {
   public:
@@ -187,7 +188,7 @@
     // nothing is sent and the verdict is NotSent. `attempt` counts the request's attempts from 0.
     bool mayBegin(double nowMs, const std::string& id, int attempt) const;
     // Of each volume with a limit that is known, as of the last step.
-    std::vector<LimitNote> limitNotes() const;
+    std::vector<LimitAccount> limitAccounts() const;
     // Messages of peers that were dropped, for they could not be read or a figure was out of range.
     std::uint64_t unreadableMessages() const;
 
--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -12,7 +12,7 @@
 #include <string_view>
 #include <vector>
 
-#include "settings/paths.hpp"
+#include "settings/flat_settings.hpp"
 #include "spokewheel/scheduler.hpp"
 
 namespace spokewheel::benchlink {
@@ -71,10 +71,10 @@
     }
     Outcome outcome(std::size_t i, const char* field) const {
         static const std::map<std::string_view, Outcome> words = {
-            {"served", Outcome::Served},          {"server_error", Outcome::ServerError},
-            {"turned_away", Outcome::TurnedAway}, {"no_answer", Outcome::NoAnswer},
-            {"called_off", Outcome::CalledOff},   {"no_connection", Outcome::NoConnection},
-            {"not_sent", Outcome::NotSent},       {"connection_lost", Outcome::ConnectionLost}};
+            {"served", Outcome::Served},        {"server_error", Outcome::ServerError},
+            {"turned_away", Outcome::Rejected}, {"no_answer", Outcome::NoAnswer},
+            {"called_off", Outcome::Cancelled}, {"no_connection", Outcome::NoConnection},
+            {"not_sent", Outcome::NotSent},     {"connection_lost", Outcome::ConnectionLost}};
         const auto found = words.find(raw(i));
         if (found == words.end()) fail(field, "an outcome");
         return found->second;
@@ -117,7 +117,7 @@
 
 // What the line says from its fourth field on: path=value. A fault is told with the line's number.
 Settings settingsFrom(const Line& line) {
-    settings::Paths::Values values;
+    settings::FlatSettings::Values values;
     for (std::size_t i = 3; i < line.size(); ++i) {
         const auto pair = line.raw(i);
         const auto equals = pair.find('=');
@@ -125,8 +125,8 @@
         values[std::string(pair.substr(0, equals))] = std::string(pair.substr(equals + 1));
     }
     try {
-        return settings::settingsFrom(settings::Paths(std::move(values)));
-    } catch (const settings::Fault& fault) {
+        return settings::settingsFrom(settings::FlatSettings(std::move(values)));
+    } catch (const settings::SettingError& fault) {
         line.fail(fault.path, fault.expected);
     }
 }
@@ -168,14 +168,14 @@
     return r;
 }
 
-Verdict verdictFrom(const Line& line) {
-    Verdict v;
+AttemptEnded verdictFrom(const Line& line) {
+    AttemptEnded v;
     v.id = line.text(2, "xid");
     v.outcome = line.outcome(3, "verdict");
     v.tookMs = line.numberOr(4, "cost-time-ms", 0);
     v.attempt = static_cast<int>(line.whole(5, "shot"));
-    v.ended = line.flag(6, "terminal");
-    v.othersGot = line.numberOr(7, "others-got", 0);
+    v.requestEnded = line.flag(6, "terminal");
+    v.servedElsewhere = line.numberOr(7, "others-got", 0);
     v.usage = line.numberOr(8, "usage", 0);
     v.node = line.text(9, "server");
     return v;
@@ -187,15 +187,15 @@
     void operator()(const Attempt& a) {
         head("ATTEMPT") << a.id << '\t' << a.node << '\t' << ms(a.expireAtMs) << '\n';
     }
-    void operator()(const Refuse& a) { head("TURN_AWAY") << a.id << '\t' << ms(a.holdOffMs) << '\n'; }
+    void operator()(const Refuse& a) { head("TURN_AWAY") << a.id << '\t' << ms(a.retryAfterMs) << '\n'; }
     void operator()(const Fail& a) { head("GIVE_UP") << a.id << '\n'; }
     void operator()(const Cancel& a) { head("RECALL") << a.id << '\t' << a.attempt << '\n'; }
     void operator()(const Probe& a) { head("SOUND_OUT") << a.node << '\n'; }
-    void operator()(const TellPeers& a) { head("ANNOUNCE") << a.to << '\t' << encode(a.bytes) << '\n'; }
-    void operator()(const Remind& a) { head("REMIND") << ms(a.afterMs) << '\t' << 1 << '\n'; }
+    void operator()(const SendToPeers& a) { head("ANNOUNCE") << a.to << '\t' << encode(a.bytes) << '\n'; }
+    void operator()(const SetTimer& a) { head("REMIND") << ms(a.afterMs) << '\t' << 1 << '\n'; }
     void operator()(const Subscribe&) { head("KEEP_INFORMED") << 1 << '\n'; }
     void operator()(const FetchList&) { out_ << "GET_LIST\t" << instance_ << '\n'; }
-    void operator()(const LimitNote&) {}  // never asked for here
+    void operator()(const LimitAccount&) {}  // never asked for here
     void exception(const std::string& words) { head("EXCEPTION") << words << '\n'; }
 
   private:
@@ -296,7 +296,7 @@
             line.whole(2, "label");
             events.emplace_back(Wake{});
         } else if (name == "STREAMING") {
-            events.emplace_back(AnswerStarted{line.text(2, "xid")});
+            events.emplace_back(ResponseStarted{line.text(2, "xid")});
         } else if (name == "CLIENT_GONE") {
             events.emplace_back(ClientGone{line.text(2, "xid")});
         } else if (name == "MEMO") {
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -55,27 +55,27 @@
     s.maxAttempts = static_cast<int>(r.whole("attempts", 3, 1, 20));
     s.answerGraceMs = r.number("answer-grace-ms", 20, 0, kMostMs);
     s.drainGraceMs = r.number("drain-grace-ms", 1000, 0, kMostMs);
-    s.settleMs = r.number("settle-ms", 100, 0, kMostMs);
+    s.settleAfterDoubtMs = r.number("settle-ms", 100, 0, kMostMs);
     auto cold = r.section("cold");
     s.coldUnits = cold.number("units", 32, 0, kMostRate);
     s.coldMs = cold.number("ms", 15000, 0, kMostMs);
     s.coldShare = cold.number("share", 0.2, 0, 1);
-    s.tipMultiple = cold.number("multiple", 2, 1, 1000);
-    s.fallMs = cold.number("fall-ms", 1000, 0, kMostMs);
+    s.overloadFactor = cold.number("multiple", 2, 1, 1000);
+    s.overloadSpanMs = cold.number("fall-ms", 1000, 0, kMostMs);
     cold.finish();
     auto budget = r.section("budget");
-    s.extraFloor = budget.number("floor", 3, 0, 1e6);
-    s.extraShare = budget.number("share", 0.1, 0, 1);
-    s.extraSpanMs = budget.number("span-ms", 0, 0, kMostMs);
+    s.retryBudgetFloor = budget.number("floor", 3, 0, 1e6);
+    s.retryBudgetShare = budget.number("share", 0.1, 0, 1);
+    s.retryBudgetSpanMs = budget.number("span-ms", 0, 0, kMostMs);
     budget.finish();
-    s.meterMs = r.number("meter-ms", 0, 0, kMostMs);
+    s.usagePeriodMs = r.number("meter-ms", 0, 0, kMostMs);
     r.finish();
 
     auto w = top.section("worth");
     s.fairWorth = w.number("fair", 0.35, 0, 1);
     s.spareWorth = w.number("spare", 0.05, 0, 1);
     w.finish();
-    s.mayTellPeers = s.hosts > 1;
+    s.maySendToPeers = s.hosts > 1;
     s.mayCancel = true;
     s.tickMs = 1;
 }
@@ -89,11 +89,11 @@
             {{"repeatable", Effect::Repeatable}, {"keyed", Effect::ByKey}, {"once", Effect::Once}}, true);
         k.group =
             c.word("group", Group::Cell, {{"all", Group::All}, {"zone", Group::Zone}, {"cell", Group::Cell}});
-        k.aimMs = c.number("aim-ms", 500, 1, kMostMs, true);
+        k.latencyTargetMs = c.number("aim-ms", 500, 1, kMostMs, true);
         k.deadlineMs = c.number("deadline-ms", 2500, 1, kMostMs, true);
-        if (k.deadlineMs < k.aimMs) c.complain("deadline-ms", "must not be less than 'aim-ms'");
-        k.memorySpanMs = c.number("memory-ms", 0, 0, kMostMs);
-        if (k.effect == Effect::ByKey && k.memorySpanMs <= 0)
+        if (k.deadlineMs < k.latencyTargetMs) c.complain("deadline-ms", "must not be less than 'aim-ms'");
+        k.keyRetentionMs = c.number("memory-ms", 0, 0, kMostMs);
+        if (k.effect == Effect::ByKey && k.keyRetentionMs <= 0)
             c.complain("memory-ms", "a keyed class needs the time that nodes remember keys");
         k.points = c.number("points", 1, 0, 1e6);
         k.lateWorth = c.number("late-worth", 0.1, 0, 1);
@@ -143,9 +143,9 @@
     d.digests = o.flag("digest", true);
     d.pieceBytes = o.bytes("piece", 512 * kKiB, 4 * kKiB, kGiB / 16);
     auto& m = d.module;
-    m.topUnits =
+    m.maxUnits =
         std::max(1.0, std::ceil(static_cast<double>(d.pieceBytes) / static_cast<double>(d.unitBytes)));
-    m.meanUnits = o.number("mean-units", std::max(1.0, m.topUnits / 4), 0.001, kMostRate);
+    m.meanUnits = o.number("mean-units", std::max(1.0, m.maxUnits / 4), 0.001, kMostRate);
     o.finish();
 }
 
@@ -171,7 +171,7 @@
         // Credits are parts of the burst by host, in whole units: a host's even half must bear the largest
         // request.
         const auto* plan = named(d.module.plans, out.plan);
-        const double least = 2 * d.module.topUnits * out.hosts;
+        const double least = 2 * d.module.maxUnits * out.hosts;
         if (plan && plan->limit > 0 && plan->limitBurst < least)
             v.complain("plan", "limit-burst of plan '" + out.plan + "' must be at least " +
                                    std::to_string(static_cast<long>(least)) +
--- a/src/fronts/patience.cpp
+++ b/src/fronts/patience.cpp
@@ -126,14 +126,15 @@
     if (found != gates_.end()) return found->second;
     Pace::Figures f;
     f.hosts = volume.hosts;
-    f.topUnits = settings_.module.topUnits;
+    f.topUnits = settings_.module.maxUnits;
     for (const auto& p : settings_.module.plans)
         if (p.name == volume.plan) f.limit = p.limit;
     f.aimMs = f.deadlineMs = 3.6e6;
     for (const auto& c : settings_.module.classes)
         if (c.name == settings_.readClass || c.name == settings_.largeReadClass ||
             c.name == settings_.writeClass)
-            f.aimMs = std::min(f.aimMs, c.aimMs), f.deadlineMs = std::min(f.deadlineMs, c.deadlineMs);
+            f.aimMs = std::min(f.aimMs, c.latencyTargetMs),
+            f.deadlineMs = std::min(f.deadlineMs, c.deadlineMs);
     return gates_.emplace(volume.name, f).first->second;
 }
 
--- a/src/fronts/store.cpp
+++ b/src/fronts/store.cpp
@@ -27,7 +27,7 @@
     rules.writeClass = settings.writeClass;
     rules.largeFromBytes = settings.largeFromBytes;
     rules.unitBytes = settings.unitBytes;
-    rules.topUnits = settings.module.topUnits;
+    rules.topUnits = settings.module.maxUnits;
     return rules;
 }
 
--- a/src/host/attempt_guard.cpp
+++ b/src/host/attempt_guard.cpp
@@ -12,7 +12,7 @@
 constexpr double kClockToleranceMs = 1;
 
 bool neverRan(Outcome outcome) {
-    return outcome == Outcome::TurnedAway || outcome == Outcome::NoConnection || outcome == Outcome::NotSent;
+    return outcome == Outcome::Rejected || outcome == Outcome::NoConnection || outcome == Outcome::NotSent;
 }
 void forgetBefore(std::deque<double>& times, double from) {
     while (!times.empty() && times.front() <= from) times.pop_front();
@@ -38,7 +38,7 @@
     request.deadline = deadline;
     for (const auto& kind : settings_.classes)
         if (kind.name == requestClass) request.kind = &kind;
-    if (settings_.extraSpanMs > 0) takenAt_.push_back(nowMs);
+    if (settings_.retryBudgetSpanMs > 0) takenAt_.push_back(nowMs);
 }
 
 void AttemptGuard::onDeadline(double atMs) {
@@ -54,11 +54,11 @@
 }
 
 bool AttemptGuard::withinBudget(double nowMs) {
-    if (settings_.extraSpanMs <= 0) return true;
-    forgetBefore(takenAt_, nowMs - settings_.extraSpanMs);
-    forgetBefore(repeatedAt_, nowMs - settings_.extraSpanMs);
+    if (settings_.retryBudgetSpanMs <= 0) return true;
+    forgetBefore(takenAt_, nowMs - settings_.retryBudgetSpanMs);
+    forgetBefore(repeatedAt_, nowMs - settings_.retryBudgetSpanMs);
     return static_cast<double>(repeatedAt_.size() + 1) <=
-           settings_.extraFloor + settings_.extraShare * static_cast<double>(takenAt_.size());
+           settings_.retryBudgetFloor + settings_.retryBudgetShare * static_cast<double>(takenAt_.size());
 }
 
 bool AttemptGuard::repeatAllowed(const Guarded& request, const std::string& id, const NodeState* node,
@@ -77,7 +77,7 @@
         request.kind->group == Group::All ||
         (node && (request.kind->group == Group::Cell ? node->shard == ran->shard : node->zone == ran->zone));
     if (!monitor_.check(remembers, Violation::RepeatOutsideKeyGroup, id)) return false;
-    return monitor_.check(nowMs < ran->at + request.kind->memorySpanMs, Violation::RepeatAfterKeyForgotten,
+    return monitor_.check(nowMs < ran->at + request.kind->keyRetentionMs, Violation::RepeatAfterKeyForgotten,
                           id);
 }
 
@@ -94,7 +94,7 @@
     if (!monitor_.check(state && state->usable, Violation::SendToUnusableNode, id, node)) return false;
     const bool repeat = !request.begun.empty();
     if (repeat && !repeatAllowed(request, id, state, nowMs)) return false;
-    if (repeat && settings_.extraSpanMs > 0) repeatedAt_.push_back(nowMs);
+    if (repeat && settings_.retryBudgetSpanMs > 0) repeatedAt_.push_back(nowMs);
     request.begun.push_back({attempt, true, false, nowMs, state->shard, state->zone});
     return true;
 }
--- a/src/host/exchange.hpp
+++ b/src/host/exchange.hpp
@@ -45,7 +45,7 @@
     // before the first byte, which may be a dial later; false: nothing is sent, and it ends as NotSent.
     virtual std::uint64_t send(const std::string& node, std::shared_ptr<const Exchange> exchange,
                                const Label& label, double expireInMs, Done done, MayBegin mayBegin) = 0;
-    virtual void cancel(std::uint64_t attempt) = 0;  // ends as CalledOff
+    virtual void cancel(std::uint64_t attempt) = 0;  // ends as Cancelled
     // Nobody waits for it any more: it ends as NotSent where it can't have run, at once; else it goes on.
     virtual void withdraw(std::uint64_t attempt) = 0;
     // A probe: done with the time it took.
--- a/src/host/host.cpp
+++ b/src/host/host.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 Settings withBegunTold(Settings settings) {
-    settings.tellsBegun = true;
+    settings.reportsAttemptBegun = true;
     return settings;
 }
 
@@ -110,7 +110,7 @@
     answerBy_ = atMs;
     guard_.onDeadline(atMs);
     for (auto& [id, r] : requests_) r.deadline = std::min(r.deadline, atMs);
-    post(AnswerBy{atMs});
+    post(ShutdownDeadline{atMs});
 }
 
 // What is still on its way to a node for a request that has ended: it may not begin any more.
@@ -142,7 +142,7 @@
     const int attempt = found == requests_.end() ? 0 : found->second.attempts++;
     if (found == requests_.end() || !found->second.done) {
         // Ended meanwhile: nothing more may be sent for it.
-        return post(Verdict{a.id, a.node, Outcome::NotSent, attempt, 0, true, 0, 0});
+        return post(AttemptEnded{a.id, a.node, Outcome::NotSent, attempt, 0, true, 0, 0});
     }
     auto& r = found->second;
     ++counters_.attempts;
@@ -188,7 +188,7 @@
     ++counters_.outcomes[result.outcome];
     note("outcome", id, node, std::to_string(static_cast<int>(result.outcome)));
     const bool served = result.outcome == Outcome::Served;
-    Verdict v{
+    AttemptEnded v{
         id, node, result.outcome, attempt, result.tookMs, served || !r.done, result.usage, result.othersGot};
     if (served && r.done) {
         Answer answer;
@@ -225,7 +225,7 @@
 void Host::act(const Refuse& a) {
     note("refused", a.id, "", nameOf(a.reason));
     ++counters_.ends[a.reason];
-    finish(a.id, {Answer::Kind::Refused, 0, {}, -1, a.holdOffMs});
+    finish(a.id, {Answer::Kind::Refused, 0, {}, -1, a.retryAfterMs});
 }
 void Host::act(const Fail& a) {
     note("failed", a.id, "", nameOf(a.reason));
@@ -243,10 +243,10 @@
         if (*alive) post(ProbeResult{node, result.outcome, result.tookMs});
     });
 }
-void Host::act(const TellPeers& a) {
+void Host::act(const SendToPeers& a) {
     if (edges_.tellPeers) edges_.tellPeers(a.to, a.bytes);
 }
-void Host::act(const Remind& a) {
+void Host::act(const SetTimer& a) {
     reminders_.add(io::nowMs() + a.afterMs);
     armReminder();
 }
@@ -263,7 +263,7 @@
 void Host::act(const FetchList&) {
     if (edges_.fetchList) edges_.fetchList();
 }
-void Host::act(const LimitNote& a) {
+void Host::act(const LimitAccount& a) {
     if (edges_.noteLimit) edges_.noteLimit(a);
 }
 
--- a/src/host/host.hpp
+++ b/src/host/host.hpp
@@ -62,7 +62,7 @@
         std::function<void(const char* event, const std::string& request, const std::string& node,
                            const std::string& words)>
             note;
-        std::function<void(const LimitNote&)> noteLimit;  // where the settings ask for notes
+        std::function<void(const LimitAccount&)> noteLimit;  // where the settings ask for notes
     };
     // Throws std::invalid_argument where the settings contradict themselves. `mostHeld` is how many requests
     // the module holds at once; more wait here in order of arrival, their time running.
@@ -88,7 +88,7 @@
     // The process's violations; the front and the daemon count theirs here too.
     invariants::Monitor& monitor() { return monitor_; }
     int shardOf(const std::string& node) const;
-    std::vector<LimitNote> limitNotes() const { return scheduler_.limitNotes(); }
+    std::vector<LimitAccount> limitNotes() const { return scheduler_.limitAccounts(); }
     std::uint64_t unreadablePeerMessages() const { return scheduler_.unreadableMessages(); }
 
   private:
@@ -110,11 +110,11 @@
     void act(const Fail& a);
     void act(const Cancel& a);
     void act(const Probe& a);
-    void act(const TellPeers& a);
-    void act(const Remind& a);
+    void act(const SendToPeers& a);
+    void act(const SetTimer& a);
     void act(const Subscribe&);
     void act(const FetchList&);
-    void act(const LimitNote& a);
+    void act(const LimitAccount& a);
     void onResult(const std::string& id, int attempt, const std::string& node, AttemptResult result);
     void finish(const std::string& id, Answer answer);
     void note(const char* event, const std::string& id, const std::string& node, const std::string& words) {
--- a/src/nodes/node_client.cpp
+++ b/src/nodes/node_client.cpp
@@ -53,7 +53,7 @@
 // A definite answer of the node counts as served, whatever it says of the object: the work was done. What a
 // missing object or a failed condition means is for whoever asked.
 Outcome outcomeOf(int status, bool wantsDigest) {
-    if (status == 503 || (status == 400 && wantsDigest)) return Outcome::TurnedAway;
+    if (status == 503 || (status == 400 && wantsDigest)) return Outcome::Rejected;
     if (status >= 500) return Outcome::ServerError;
     return Outcome::Served;
 }
@@ -248,7 +248,7 @@
                 // Before the last byte of the request was written nothing can have run: what says otherwise
                 // belongs to no request, or to the one before.
                 if (dialect_.runsOnlyWhole && !mayHaveRun(*link) &&
-                    dialect_.read(head).outcome != Outcome::TurnedAway)
+                    dialect_.read(head).outcome != Outcome::Rejected)
                     return end(id, Outcome::NotSent, false);
                 // One that is longer than it may be is not waited for: it could go on for ever.
                 if (link->parser.remaining() > f.exchange->mostAnswer)
@@ -342,7 +342,7 @@
 
 void NodeClient::cancel(std::uint64_t attempt) {
     if (const auto found = flights_.find(attempt); found != flights_.end())
-        found->second->later.arm(0, [this, attempt] { end(attempt, Outcome::CalledOff, false); });
+        found->second->later.arm(0, [this, attempt] { end(attempt, Outcome::Cancelled, false); });
 }
 
 void NodeClient::withdraw(std::uint64_t attempt) {
--- a/src/platform/configuration.cpp
+++ b/src/platform/configuration.cpp
@@ -8,7 +8,7 @@
 #include <stdexcept>
 
 #include "platform/decide_budget.hpp"
-#include "settings/paths.hpp"
+#include "settings/flat_settings.hpp"
 
 namespace spokewheel::platform {
 namespace {
@@ -21,9 +21,9 @@
 
 // Nested JSON to the paths that the simulator's wire uses: "classes.count" and "classes.0.name" for a list of
 // objects, plain values joined by commas for any other list.
-void flatten(const json& value, const std::string& path, settings::Paths::Values& out, int depth = 0) {
+void flatten(const json& value, const std::string& path, settings::FlatSettings::Values& out, int depth = 0) {
     constexpr int kDeepest = 16;
-    if (depth > kDeepest) throw settings::Fault(path.substr(0, 100), "less nesting");
+    if (depth > kDeepest) throw settings::SettingError(path.substr(0, 100), "less nesting");
     if (value.is_object()) {
         for (const auto& [key, inner] : value.items())
             flatten(inner, path.empty() ? key : path + "." + key, out, depth + 1);
@@ -132,15 +132,15 @@
     const auto found = root.find("settings");
     if (found == root.end() || !found->is_object()) file.fail("settings", "an object");
     try {
-        settings::Paths::Values values;
+        settings::FlatSettings::Values values;
         flatten(*found, "", values);
-        const settings::Paths paths(std::move(values));
+        const settings::FlatSettings paths(std::move(values));
         c.module = settings::settingsFrom(paths);
         paths.get("ceilings.dial-timeout-ms", c.dialTimeoutMs);
         paths.get("ceilings.conn-idle-ms", c.connIdleMs);
-        c.module.noteLimits = true;
+        c.module.reportLimitAccounts = true;
         c.module.maxOpen = mostOpen(c.sockets, c.module.maxOpen);
-    } catch (const settings::Fault& fault) {
+    } catch (const settings::SettingError& fault) {
         file.fail("settings." + fault.path, fault.expected);
     }
     return c;
--- a/src/platform/dialect.cpp
+++ b/src/platform/dialect.cpp
@@ -29,7 +29,7 @@
 Outcome outcomeOf(const wire::http::Head& head) {
     if (head.status == 200) return Outcome::Served;
     const auto* notRun = head.find("X-Not-Processed");
-    if ((head.status == 503 || head.status == 504) && notRun && *notRun == "1") return Outcome::TurnedAway;
+    if ((head.status == 503 || head.status == 504) && notRun && *notRun == "1") return Outcome::Rejected;
     return Outcome::ServerError;
 }
 
--- a/src/platform/platform_daemon.cpp
+++ b/src/platform/platform_daemon.cpp
@@ -59,7 +59,7 @@
             log_.event(Level::Info, event, {{"request", request}, {"node", node}, {"words", words}},
                        io::nowMs());
         };
-    edges.noteLimit = [this](const LimitNote& note) { logLimit(log_, note); };
+    edges.noteLimit = [this](const LimitAccount& note) { logLimit(log_, note); };
     host_ = raiseHost(file_, c, std::move(edges));
     raisePeers();
     host_->monitor().reportTo(
@@ -91,7 +91,7 @@
     const auto& c = configuration_;
     StartList::Edges edges;
     edges.confirmed = [this](registry::Endpoints list) { onConfirmed(std::move(list)); };
-    if (c.module.mayTellPeers && c.peerListen.port > 0) {
+    if (c.module.maySendToPeers && c.peerListen.port > 0) {
         peers_ = std::make_unique<peers::PlainLink>(c.module.rank, c.peerListen, c.peers, c.peersAll,
                                                     [this](int from, std::string bytes) {
                                                         if (!startList_->onPeer(from, bytes))
--- a/src/platform/report.cpp
+++ b/src/platform/report.cpp
@@ -46,9 +46,9 @@
     return out;
 }
 
-const char* nameOf(LimitNote::Moment moment) {
+const char* nameOf(LimitAccount::Moment moment) {
     static constexpr const char* kNames[] = {"first_sight", "short", "forgotten", "end"};
-    static_assert(std::size(kNames) == static_cast<std::size_t>(LimitNote::Moment::Asked) + 1);
+    static_assert(std::size(kNames) == static_cast<std::size_t>(LimitAccount::Moment::Asked) + 1);
     return kNames[static_cast<std::size_t>(moment)];
 }
 
@@ -89,7 +89,7 @@
               now);
 }
 
-void logLimit(log::Log& log, const LimitNote& note) {
+void logLimit(log::Log& log, const LimitAccount& note) {
     char volume[20];
     std::snprintf(volume, sizeof volume, "%016llx", static_cast<unsigned long long>(note.volume));
     log.event(Level::Info, "limit_account",
--- a/src/platform/report.hpp
+++ b/src/platform/report.hpp
@@ -29,6 +29,6 @@
 void logPulse(log::Log& log, const PulseSources& sources);
 
 // Event `limit_account`: one volume's parts, in units.
-void logLimit(log::Log& log, const LimitNote& note);
+void logLimit(log::Log& log, const LimitAccount& note);
 
 }  // namespace spokewheel::platform
--- a/src/policy/limit_parts.hpp
+++ b/src/policy/limit_parts.hpp
@@ -22,7 +22,7 @@
 // rate, which serves usual demand where peers can't be reached, and hold a largest request each where that
 // leaves half of the burst to the pools. Where two pools would hold less than a largest request each of its
 // own, there is one, so that such a request can be served.
-inline LimitParts partsOf(const Plan& plan, int hosts, double topUnits, bool pooled) {
+inline LimitParts partsOf(const Plan& plan, int hosts, double maxUnits, bool pooled) {
     LimitParts parts;
     const double even = plan.limitBurst / hosts;
     if (!pooled) {
@@ -33,11 +33,11 @@
     constexpr double kOwnBurstS = 0.5;  // of its rate: what comes while a host waits for its next credit
     constexpr std::array<double, kPools> kPoolParts = {2.0 / 3, 1.0 / 3};
     const double ownRate = kOwnPart * plan.limit / hosts;
-    const double spare = std::max(0.0, plan.limitBurst - topUnits);  // beside a largest request
-    parts.own = {ownRate, std::min({even / 2, std::max(topUnits, ownRate * kOwnBurstS), spare / hosts})};
+    const double spare = std::max(0.0, plan.limitBurst - maxUnits);  // beside a largest request
+    parts.own = {ownRate, std::min({even / 2, std::max(maxUnits, ownRate * kOwnBurstS), spare / hosts})};
     const double rate = (1 - kOwnPart) * plan.limit;
     const double burst = plan.limitBurst - hosts * parts.own.burst;
-    if (kPoolParts[0] * burst < topUnits) {
+    if (kPoolParts[0] * burst < maxUnits) {
         parts.pools[0] = {rate, burst};
         return parts;
     }
--- a/src/policy/node_window.cpp
+++ b/src/policy/node_window.cpp
@@ -23,7 +23,7 @@
         answers_ <= kSettledFrom ? msPerUnit_ : std::min(bestMsPerUnit_ * kBestDrift, msPerUnit_);
     // Where a node was busy from the start its best is no guide; the aims are: time in the node past a part
     // of the aim leaves no time to choose among what is held.
-    partOfAim_ += step * (answer.tookMs / answer.aimMs - partOfAim_);
+    partOfAim_ += step * (answer.tookMs / answer.latencyTargetMs - partOfAim_);
     const double over = std::max(msPerUnit_ / bestMsPerUnit_ / kNarrowAt, partOfAim_ / kAimPart);
     if (over < kWidenBelow && inflight + 1 >= size_ - 1) size_ += 1 / size_;
     if (over > 1 && answer.sentAtMs > narrowedAtMs_) {
--- a/src/policy/node_window.hpp
+++ b/src/policy/node_window.hpp
@@ -10,7 +10,7 @@
     static constexpr double kMost = 24, kLeast = 1;
 
     struct Answer {
-        double tookMs = 0, units = 0, aimMs = 0, sentAtMs = 0;
+        double tookMs = 0, units = 0, latencyTargetMs = 0, sentAtMs = 0;
     };
     // `inflight`: what is out at the node beside this one.
     void served(const Answer& answer, int inflight, double nowMs);
--- a/src/policy/peer_messages.cpp
+++ b/src/policy/peer_messages.cpp
@@ -77,7 +77,9 @@
     if (n.kind == NoteKind::Ask) {
         out.number(n.shard).whole(n.requestClass).whole(n.plan);
         out.number(std::round(kParts * n.full) * (kParts + 1) + std::floor(kParts * n.fair));
-        out.number(std::round(kTenths * n.units)).number(n.aimMs / kStepMs).number(n.ttlMs / kStepMs);
+        out.number(std::round(kTenths * n.units))
+            .number(n.latencyTargetMs / kStepMs)
+            .number(n.ttlMs / kStepMs);
         out.number(static_cast<double>(n.key)).number(n.coldAgeMs < 0 ? 0 : 1 + n.coldAgeMs / kAgeStepMs);
     } else if (n.kind == NoteKind::Done) {
         out.number(n.outcome).number(std::round(n.tookMs));
@@ -89,8 +91,8 @@
 
 bool inRange(const Note& n, const Settings& s) {
     constexpr double kHeatMost = 255;
-    return n.requestClass < s.classes.size() && n.plan < s.plans.size() && n.units <= s.topUnits &&
-           n.ttlMs <= 2 * s.classes[n.requestClass].deadlineMs && n.aimMs <= n.ttlMs + s.coldMs &&
+    return n.requestClass < s.classes.size() && n.plan < s.plans.size() && n.units <= s.maxUnits &&
+           n.ttlMs <= 2 * s.classes[n.requestClass].deadlineMs && n.latencyTargetMs <= n.ttlMs + s.coldMs &&
            n.coldAgeMs <= s.coldMs && n.outcome <= static_cast<int>(Outcome::NotSent) && n.heat <= kHeatMost;
 }
 
@@ -156,7 +158,7 @@
             ask.most = in.number() / kTenths;
             const bool known = ask.plan < settings.plans.size() && settings.plans[ask.plan].limit > 0;
             if (!known || ask.pool >= kPools || ask.hosts < 1 || ask.hosts > kMostHosts) return std::nullopt;
-            if (ask.least > settings.topUnits || ask.most < ask.least) return std::nullopt;
+            if (ask.least > settings.maxUnits || ask.most < ask.least) return std::nullopt;
             message.asks.push_back(ask);
         } else if (kind == kQuotaAnswer) {
             QuotaAnswer answer{volume, seq};
@@ -227,7 +229,7 @@
             n.fair = parts % static_cast<int>(kParts + 1) / kParts;
             if (n.full > 1) return std::nullopt;
             n.units = in.number() / kTenths;
-            n.aimMs = in.number() * kStepMs;
+            n.latencyTargetMs = in.number() * kStepMs;
             n.ttlMs = in.number() * kStepMs;
             n.key = static_cast<std::int64_t>(in.number());
             const double age = in.number();
--- a/src/policy/peer_messages.hpp
+++ b/src/policy/peer_messages.hpp
@@ -61,7 +61,7 @@
     double heat = 0;        // Heat
     // Ask: the parts of its units that are due, between 0 and 1; a negative age stands for a warm node.
     std::size_t requestClass = 0, plan = 0;
-    double full = 0, fair = 0, units = 0, aimMs = 0, ttlMs = 0, coldAgeMs = -1;
+    double full = 0, fair = 0, units = 0, latencyTargetMs = 0, ttlMs = 0, coldAgeMs = -1;
     std::int64_t key = 0;
 };
 
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -49,7 +49,7 @@
         validate(set_);
         incarnation_ = static_cast<std::uint32_t>(random_() & 0xffff);
         seq_ = random_() & 0xfffff;
-        shared_ = set_.mayTellPeers && set_.hosts > NodeWindow::kMost;
+        shared_ = set_.maySendToPeers && set_.hosts > NodeWindow::kMost;
     }
 
     std::vector<Action> step(double now, const std::vector<Event>& events) {
@@ -88,10 +88,10 @@
     }
 
     std::uint64_t unreadableMessages() const { return unreadable_; }
-    std::vector<LimitNote> limitNotes() const {
-        std::vector<LimitNote> notes;
+    std::vector<LimitAccount> limitAccounts() const {
+        std::vector<LimitAccount> notes;
         for (const auto& [id, v] : volumes_)
-            if (v.limited()) notes.push_back(v.note(LimitNote::Moment::Asked));
+            if (v.limited()) notes.push_back(v.note(LimitAccount::Moment::Asked));
         return notes;
     }
 
@@ -188,13 +188,13 @@
         v.wasShort = v.wasShort || !credit || !share;
         return credit && share;
     }
-    void note(const Volume& v, LimitNote::Moment moment) {
-        if (set_.noteLimits && v.limited()) out_.emplace_back(v.note(moment));
+    void note(const Volume& v, LimitAccount::Moment moment) {
+        if (set_.reportLimitAccounts && v.limited()) out_.emplace_back(v.note(moment));
     }
     void noteShortage(Volume& v) {
         if (!std::exchange(v.wasShort, false) || now_ < v.noteShortFrom) return;
         v.noteShortFrom = now_ + kPeriodMs;
-        note(v, LimitNote::Moment::Short);
+        note(v, LimitAccount::Moment::Short);
     }
     void draw(Volume& v, double units) {
         if (!v.limited()) return;
@@ -202,11 +202,11 @@
         v.r += units;
         v.total += std::ceil(units);
         v.share.draw(units);
-        if (set_.tellsBegun) v.share.reserve(units);
+        if (set_.reportsAttemptBegun) v.share.reserve(units);
     }
     // What was drawn for the request is with its node, or never will be.
     void release(Held& q) {
-        if (q.drawn && !std::exchange(q.begun, true) && set_.tellsBegun && q.volume->limited())
+        if (q.drawn && !std::exchange(q.begun, true) && set_.reportsAttemptBegun && q.volume->limited())
             q.volume->share.release(q.request.units);
     }
     void on(const AttemptBegun& begun) {
@@ -299,9 +299,9 @@
     }
 
     // ---------------------------------------------------------------- quota leases
-    bool pooled() const { return set_.mayTellPeers && set_.hosts > 1; }
+    bool pooled() const { return set_.maySendToPeers && set_.hosts > 1; }
     LimitParts parts(const Volume& v) const {
-        return partsOf(*v.plan, hostsAtWork(v), set_.topUnits, pooled());
+        return partsOf(*v.plan, hostsAtWork(v), set_.maxUnits, pooled());
     }
     int poolHost(std::int64_t volume, std::size_t pool) const {
         return spokewheel::poolHost(volume, pool, set_.hosts);
@@ -320,7 +320,7 @@
             wake(volume->quota.wakeAtMs(now_));
         }
         for (const auto& [rank, message] : messages)
-            for (const auto& bytes : pack(message)) out_.emplace_back(TellPeers{rank, bytes});
+            for (const auto& bytes : pack(message)) out_.emplace_back(SendToPeers{rank, bytes});
         return leased;
     }
     bool askPool(Volume& v, const std::vector<double>& waiting, std::map<int, QuotaMessage>& messages) {
@@ -335,7 +335,7 @@
         return false;
     }
     QuotaAnswer leaseFor(int rank, const QuotaAsk& ask) {
-        const auto split = partsOf(set_.plans[ask.plan], ask.hosts, set_.topUnits, true);
+        const auto split = partsOf(set_.plans[ask.plan], ask.hosts, set_.maxUnits, true);
         const auto answer =
             quotaPool_.lease(ask.volume, split.pools[ask.pool], {rank, ask.seq}, ask.least, ask.most, now_);
         return {ask.volume, ask.seq, answer.units, answer.retryAfterMs};
@@ -362,7 +362,7 @@
         for (const auto& ask : message.asks)
             if (pooled() && poolHost(ask.volume, ask.pool) == set_.rank)
                 reply.answers.push_back(leaseFor(from, ask));
-        for (const auto& bytes : pack(reply)) out_.emplace_back(TellPeers{from, bytes});
+        for (const auto& bytes : pack(reply)) out_.emplace_back(SendToPeers{from, bytes});
     }
 
     // ---------------------------------------------------------------- node windows
@@ -390,9 +390,11 @@
             const double age = n.suspect ? 0 : std::min(1.0, (now_ - n.coldFrom) / set_.coldMs);
             const double grown = 1 + age * (1 / std::max(set_.coldShare, 0.01) - 1);
             // The process before this one may have sent what still counts, if the node was up by then.
-            const bool unsure = now_ < startedAt_ + set_.fallMs && (n.suspect || n.coldFrom < startedAt_);
+            const bool unsure =
+                now_ < startedAt_ + set_.overloadSpanMs && (n.suspect || n.coldFrom < startedAt_);
             if (unsure || n.inflight >= std::max(1.0, std::floor(age * n.window.size()))) return false;
-            const double from = now_ - set_.fallMs, beyond = 1 - 1 / std::max(1.0, set_.tipMultiple);
+            const double from = now_ - set_.overloadSpanMs,
+                         beyond = 1 - 1 / std::max(1.0, set_.overloadFactor);
             const double mine = grown * set_.coldUnits * part, sent = n.coldSent.since(from);
             return sent + units <= mine + beyond * n.coldDone.since(from) ||
                    (!shared_ && sent <= 0 && lotFalls(n, units, mine));
@@ -407,7 +409,7 @@
         if (n.suspect && now_ >= n.coldFrom + set_.coldMs)
             return now_ >= n.lastSend + kCanaryMs * (1 + set_.hosts / NodeWindow::kMost);
         if (now_ >= n.lotUntil) {
-            n.lotUntil = now_ + set_.fallMs * (n.lotUntil < 0 ? uniform() : 1);
+            n.lotUntil = now_ + set_.overloadSpanMs * (n.lotUntil < 0 ? uniform() : 1);
             n.lot = uniform();
         }
         return n.lot * 2 * units < mine;
@@ -417,7 +419,7 @@
     void on(const Request& request) {
         const auto* kind = named(set_.classes, request.requestClass);
         const auto* plan = named(set_.plans, request.plan);
-        if (set_.extraSpanMs > 0) taken_.entries.push_back({now_, 1});
+        if (set_.retryBudgetSpanMs > 0) taken_.entries.push_back({now_, 1});
         if (byId_.count(request.id)) return;
         if (!kind || !plan) return refuse(request.id, EndReason::UnknownKind);
         auto& v = volumes_[request.volume];
@@ -430,7 +432,7 @@
         // of this host that kept the request waiting unseen. Its aim has been running meanwhile.
         double& longest = longestTtl_[kind];
         longest = std::max(longest, request.ttlMs);
-        auto& q = admit(request, *kind, *plan, kind->aimMs - (longest - request.ttlMs));
+        auto& q = admit(request, *kind, *plan, kind->latencyTargetMs - (longest - request.ttlMs));
         q.volume = &v;
         held_[q.seq] = &q;
         if (q.ordered()) queue(keys_[request.key], q);
@@ -449,7 +451,7 @@
         v.share.begin(parts(v).own, v.hosts, v.filledAt);
         refill(v);
         split(v);
-        note(v, LimitNote::Moment::FirstSight);
+        note(v, LimitAccount::Moment::FirstSight);
     }
     // All hosts share this volume, and one of them is short of credit: this one takes part before it has a
     // request of its own, so that what idles here can be lent.
@@ -466,7 +468,7 @@
     }
     void queue(KeyTurn& key, Held& q) {
         // The process before this one may have left an attempt in doubt.
-        key.restUntil = std::max(key.restUntil, startedAt_ + set_.settleMs);
+        key.restUntil = std::max(key.restUntil, startedAt_ + set_.settleAfterDoubtMs);
         if (key.restUntil > now_) wake(key.restUntil);
         key.turn.push_back(&q);
     }
@@ -490,7 +492,7 @@
     void noteDue(Volume& v, double units) {
         const double part = v.dues.fraction(v.hosts, now_);
         const VolumeDues::Rates rates{part * v.plan->reservation, fairPerWeight_ * v.plan->weight * part};
-        v.dues.arrive(units, rates, set_.topUnits, now_);
+        v.dues.arrive(units, rates, set_.maxUnits, now_);
     }
     double worth(Held& q, double finish) {
         const double base = q.kind->points * q.plan->worthFactor;
@@ -648,7 +650,7 @@
         ask.requestClass = static_cast<std::size_t>(q.kind - set_.classes.data());
         ask.plan = static_cast<std::size_t>(q.plan - set_.plans.data());
         ask.full = q.full, ask.fair = q.fair, ask.units = q.request.units;
-        ask.aimMs = q.aimAt - now_, ask.ttlMs = q.deadline - now_;
+        ask.latencyTargetMs = q.aimAt - now_, ask.ttlMs = q.deadline - now_;
         ask.key = q.keyMark();
         if (cold(n)) ask.coldAgeMs = std::min(now_ - n.coldFrom, set_.coldMs);
         notes_[q.keeper].push_back(ask);
@@ -663,7 +665,7 @@
         newAsks_.push_back(id);
         if (byId_.count(id)) return;
         auto& q = admit({id, "", "", a.key, 0, a.ttlMs, a.units, a.shard, 1}, set_.classes[a.requestClass],
-                        set_.plans[a.plan], a.aimMs);
+                        set_.plans[a.plan], a.latencyTargetMs);
         q.full = a.full;
         q.fair = std::min(1 - a.full, a.fair);
         q.owner = from;
@@ -710,7 +712,7 @@
                 notes_[found->second->owner].push_back({NoteKind::Ack, found->second->ownerSeq});
         newAsks_.clear();
         for (const auto& [rank, notes] : notes_)
-            for (const auto& bytes : pack(notes)) out_.emplace_back(TellPeers{rank, bytes});
+            for (const auto& bytes : pack(notes)) out_.emplace_back(SendToPeers{rank, bytes});
         notes_.clear();
     }
     void onNotes(int from, const std::vector<Note>& notes) {
@@ -720,7 +722,8 @@
             if (n.kind == NoteKind::Ask) take(from, n);
             else if (n.kind == NoteKind::Grant) granted(from, n.seq);
             else if (n.kind == NoteKind::Done)
-                on(Verdict{askId(from, n.seq), "", static_cast<Outcome>(n.outcome), 0, n.tookMs, true, 0, 0});
+                on(AttemptEnded{askId(from, n.seq), "", static_cast<Outcome>(n.outcome), 0, n.tookMs, true, 0,
+                                0});
             else if (n.kind == NoteKind::Ack && found != held_.end() && found->second->keeper == from)
                 heardKeeper(*found->second);
             else if (Node* node = n.kind == NoteKind::Heat ? holder(n.shard) : nullptr) node->heat = n.heat;
@@ -729,10 +732,10 @@
 
     // ---------------------------------------------------------------- attempts and answers
     bool extraAllowed() {
-        if (set_.extraSpanMs <= 0) return true;
-        const double from = now_ - set_.extraSpanMs;
+        if (set_.retryBudgetSpanMs <= 0) return true;
+        const double from = now_ - set_.retryBudgetSpanMs;
         return extra_.since(from - kBeginLateMs) + 1 <=
-               set_.extraFloor + set_.extraShare * taken_.since(from + kBeginLateMs);
+               set_.retryBudgetFloor + set_.retryBudgetShare * taken_.since(from + kBeginLateMs);
     }
     void send(Held& q, Node& n) {
         // A trial at a silent node is bounded where it may be repeated, so that it can be tried again. Should
@@ -748,7 +751,7 @@
         if (q.owner < 0) {
             if (!q.drawn) draw(*q.volume, q.request.units);
             q.drawn = true;
-            if (!q.sent.empty() && set_.extraSpanMs > 0) extra_.entries.push_back({now_, 1});
+            if (!q.sent.empty() && set_.retryBudgetSpanMs > 0) extra_.entries.push_back({now_, 1});
             takeDue(q);
         }
         q.sent.push_back({&n, now_, true, cold(n)});
@@ -765,7 +768,7 @@
             deadlines_.insert({std::min(q.deadline, now_ + kLeaseMs), q.request.id});
         } else out_.emplace_back(Attempt{q.request.id, n.id, expireAt});
     }
-    void on(const Verdict& verdict) {
+    void on(const AttemptEnded& verdict) {
         const auto found = byId_.find(verdict.id);
         if (found == byId_.end()) return;
         Held& q = *found->second;
@@ -783,9 +786,9 @@
                 {NoteKind::Done, q.seq, -1, static_cast<int>(verdict.outcome), verdict.tookMs});
         const auto was = [&verdict](auto... any) { return ((verdict.outcome == any) || ...); };
         const bool answered = was(Outcome::Served, Outcome::ServerError);
-        const bool neverRan = was(Outcome::TurnedAway, Outcome::NotSent, Outcome::NoConnection);
+        const bool neverRan = was(Outcome::Rejected, Outcome::NotSent, Outcome::NoConnection);
         const bool inDoubt = !answered && !neverRan;
-        if (answered || was(Outcome::TurnedAway)) {
+        if (answered || was(Outcome::Rejected)) {
             n.unansweredFrom = n.inflight > 0 ? now_ : 1e18;
             n.dropped = 0;
         }
@@ -795,11 +798,11 @@
                 n.suspect = false;
                 n.coldFrom = std::max(n.coldFrom, now_);
             }
-            n.window.served({verdict.tookMs, q.request.units, std::max(1.0, q.kind->aimMs), s.at}, n.inflight,
-                            now_);
+            n.window.served({verdict.tookMs, q.request.units, std::max(1.0, q.kind->latencyTargetMs), s.at},
+                            n.inflight, now_);
             if (cold(n)) n.coldDone.entries.push_back({now_, q.request.units});
             if (q.owner < 0) q.volume->dues.served(q.request.units, now_);
-        } else if (was(Outcome::TurnedAway)) {
+        } else if (was(Outcome::Rejected)) {
             n.window.turnedAway();
             n.notBefore = std::max(n.notBefore, now_ + kRetryMs);
         } else if (was(Outcome::NoConnection, Outcome::ConnectionLost)) {
@@ -810,11 +813,11 @@
             if (n.suspect) n.notBefore = now_ + kSuspectRetryMs;
             else if (was(Outcome::NoConnection)) n.notBefore = std::max(n.notBefore, now_ + kRetryMs);
         }
-        if (verdict.usage > 0 && set_.meterMs > 0)
+        if (verdict.usage > 0 && set_.usagePeriodMs > 0)
             q.volume->dues.metered((verdict.usage - 1) / 100 * q.plan->nominal, now_);
         if (inDoubt && q.ordered()) {
             auto& k = keys_[q.request.key];
-            k.restUntil = std::max(k.restUntil, now_ + set_.settleMs);
+            k.restUntil = std::max(k.restUntil, now_ + set_.settleAfterDoubtMs);
             wake(k.restUntil);
         }
         if (!neverRan && !q.mayHaveRun) {
@@ -823,14 +826,14 @@
             q.boundShard = n.shard;
             q.boundZone = n.zone;
         }
-        if (verdict.ended) q.ended = true;
+        if (verdict.requestEnded) q.ended = true;
         if (!q.ended && q.open == 0) again(q, verdict.outcome);
         forget(q);
     }
     // After an attempt that failed: hold it again where its class and the rules allow, else answer.
     void again(Held& q, Outcome outcome) {
         if (!mayRepeat(q, set_, now_)) return answer(q, EndReason::AttemptsUsed);
-        q.notBefore = now_ + (outcome == Outcome::TurnedAway ? kRetryMs : 0);
+        q.notBefore = now_ + (outcome == Outcome::Rejected ? kRetryMs : 0);
         q.keeper = -1;
         held_[q.seq] = &q;
     }
@@ -840,11 +843,11 @@
         q.ended = true;
         unhold(q);
     }
-    void refuse(const std::string& id, EndReason reason, double holdOffMs = 0) {
-        out_.emplace_back(Refuse{id, std::clamp(holdOffMs, 0.0, set_.maxHoldOffMs), reason});
+    void refuse(const std::string& id, EndReason reason, double retryAfterMs = 0) {
+        out_.emplace_back(Refuse{id, std::clamp(retryAfterMs, 0.0, set_.maxRetryAfterMs), reason});
     }
-    void refuse(Held& q, double holdOffMs) {
-        refuse(q.request.id, EndReason::BeyondLimit, holdOffMs);
+    void refuse(Held& q, double retryAfterMs) {
+        refuse(q.request.id, EndReason::BeyondLimit, retryAfterMs);
         q.ended = true;
         forget(q);
     }
@@ -871,11 +874,11 @@
     void on(const ClientGone& gone) {
         if (const auto found = byId_.find(gone.id); found != byId_.end()) drop(*found->second);
     }
-    void on(const AnswerStarted& started) {
+    void on(const ResponseStarted& started) {
         const auto found = byId_.find(started.id);
         if (found != byId_.end()) found->second->started = found->second->kind->stream;
     }
-    void on(const AnswerBy& by) {
+    void on(const ShutdownDeadline& by) {
         for (auto& q : pool_) {
             if (q.owner >= 0 || q.deadline <= by.atMs) continue;
             q.deadline = by.atMs;
@@ -901,7 +904,7 @@
             deadlines_.erase(deadlines_.begin());
             if (found == byId_.end()) continue;
             Held& q = *found->second;
-            if (q.owner >= 0) on(Verdict{q.request.id, "", Outcome::NoAnswer, 0, 0, true, 0, 0});
+            if (q.owner >= 0) on(AttemptEnded{q.request.id, "", Outcome::NoAnswer, 0, 0, true, 0, 0});
             else if (!q.started && !held_.count(q.seq)) over.push_back(&q);
         }
         if (!deadlines_.empty()) wake(deadlines_.begin()->first);
@@ -915,7 +918,7 @@
     // To hosts known to share a volume, and only what changed; to all once a volume was first short of
     // credit.
     void report() {
-        if (!set_.mayTellPeers || set_.hosts == 1) return;
+        if (!set_.maySendToPeers || set_.hosts == 1) return;
         std::map<int, Report> reports;
         std::vector<Introduction> words;
         for (auto& [id, v] : volumes_) {
@@ -939,11 +942,11 @@
                 reports[rank].figures.push_back(mineNow);
             }
         }
-        for (const auto& bytes : pack(words)) out_.emplace_back(TellPeers{-1, bytes});
+        for (const auto& bytes : pack(words)) out_.emplace_back(SendToPeers{-1, bytes});
         for (auto& [rank, r] : reports) {
             r.incarnation = incarnation_;
             r.subperiod = sub_;
-            for (const auto& bytes : pack(r)) out_.emplace_back(TellPeers{rank, bytes});
+            for (const auto& bytes : pack(r)) out_.emplace_back(SendToPeers{rank, bytes});
         }
     }
     // Peer bytes are untrusted: all of a message is read and checked before any of it counts.
@@ -998,7 +1001,7 @@
         const auto& v = at->second;
         const bool idle = v.users == 0 && now_ > v.usedAt + kIdleSubs * kSubperiodMs;
         if (!idle || usersOf_.count(at->first, now_) < static_cast<std::size_t>(v.hosts)) return false;
-        note(v, LimitNote::Moment::Forgotten);
+        note(v, LimitAccount::Moment::Forgotten);
         volumes_.erase(at);
         return true;
     }
@@ -1012,7 +1015,7 @@
             for (auto p = v.peers.begin(); p != v.peers.end();)
                 p = now_ > p->second.heardAt + kForgetMs ? v.peers.erase(p) : std::next(p);
             const bool idle = v.users == 0 && v.peers.empty() && now_ > v.usedAt + std::max(kForgetMs, full);
-            if (idle) note(v, LimitNote::Moment::Forgotten);
+            if (idle) note(v, LimitAccount::Moment::Forgotten);
             it = idle ? volumes_.erase(it) : std::next(it);
         }
         for (auto it = keys_.begin(); it != keys_.end();)
@@ -1025,7 +1028,7 @@
         nextWake_ = std::max(nextWake_, now_ + set_.tickMs);
         if (armedAt_ <= now_ + set_.tickMs / 2 || nextWake_ < armedAt_) {
             armedAt_ = nextWake_;
-            out_.emplace_back(Remind{nextWake_ - now_});
+            out_.emplace_back(SetTimer{nextWake_ - now_});
         }
         nextWake_ = 1e18;
     }
@@ -1072,7 +1075,7 @@
 bool Scheduler::mayBegin(double nowMs, const std::string& id, int attempt) const {
     return impl_->mayBegin(nowMs, id, attempt);
 }
-std::vector<LimitNote> Scheduler::limitNotes() const { return impl_->limitNotes(); }
+std::vector<LimitAccount> Scheduler::limitAccounts() const { return impl_->limitAccounts(); }
 std::uint64_t Scheduler::unreadableMessages() const { return impl_->unreadableMessages(); }
 
 }  // namespace spokewheel
--- a/src/policy/send_rules.cpp
+++ b/src/policy/send_rules.cpp
@@ -18,7 +18,7 @@
 
 bool forgottenByNodes(const Held& held, double nowMs) {
     return held.mayHaveRun && held.kind->effect == Effect::ByKey &&
-           nowMs + kPauseMs >= held.mayRunAt + held.kind->memorySpanMs;
+           nowMs + kPauseMs >= held.mayRunAt + held.kind->keyRetentionMs;
 }
 
 bool mayRepeat(const Held& held, const Settings& settings, double nowMs) {
--- a/src/policy/settings_check.hpp
+++ b/src/policy/settings_check.hpp
@@ -36,13 +36,16 @@
     const auto amount = [](double x) { return x >= 0 && x <= kMostExact; };
     check(s.hosts >= 1 && s.rank >= 0 && s.rank < s.hosts, "hosts");
     check(s.maxAttempts >= 1, "maxAttempts");
-    check(share(s.extraShare) && amount(s.extraFloor) && amount(s.extraSpanMs), "extraShare");
-    check(share(s.coldShare) && amount(s.coldUnits) && amount(s.coldMs) && amount(s.fallMs), "coldShare");
+    check(share(s.retryBudgetShare) && amount(s.retryBudgetFloor) && amount(s.retryBudgetSpanMs),
+          "extraShare");
+    check(share(s.coldShare) && amount(s.coldUnits) && amount(s.coldMs) && amount(s.overloadSpanMs),
+          "coldShare");
     check(share(s.fairWorth), "fairWorth");
     check(share(s.spareWorth), "spareWorth");
-    check(amount(s.tickMs) && amount(s.meanUnits) && amount(s.topUnits), "units");
+    check(amount(s.tickMs) && amount(s.meanUnits) && amount(s.maxUnits), "units");
     for (const auto& c : s.classes)
-        check(amount(c.aimMs) && amount(c.deadlineMs) && amount(c.memorySpanMs) && share(c.lateWorth),
+        check(amount(c.latencyTargetMs) && amount(c.deadlineMs) && amount(c.keyRetentionMs) &&
+                  share(c.lateWorth),
               "classes");
     for (std::size_t i = 0; i < s.plans.size(); ++i) checkPlan(s.plans[i], i);
 }
--- a/src/policy/state.hpp
+++ b/src/policy/state.hpp
@@ -75,8 +75,8 @@
     std::map<int, PeerView> peers;
     VolumeDues dues;
     bool limited() const { return plan->limit > 0; }
-    LimitNote note(LimitNote::Moment moment) const {
-        LimitNote note;
+    LimitAccount note(LimitAccount::Moment moment) const {
+        LimitAccount note;
         note.moment = moment;
         note.volume = id;
         note.hosts = hosts;
--- a/src/policy/volume_dues.cpp
+++ b/src/policy/volume_dues.cpp
@@ -14,11 +14,11 @@
 
 }  // namespace
 
-void VolumeDues::arrive(double units, Rates rates, double topUnits, double nowMs) {
+void VolumeDues::arrive(double units, Rates rates, double maxUnits, double nowMs) {
     const double ms = nowMs - filledAtMs_;
     filledAtMs_ = nowMs;
-    reserveStore_ = std::min(rates.reserve + topUnits, reserveStore_ + rates.reserve * ms / 1000);
-    fairStore_ = std::min(rates.fair + topUnits, fairStore_ + rates.fair * ms / 1000);
+    reserveStore_ = std::min(rates.reserve + maxUnits, reserveStore_ + rates.reserve * ms / 1000);
+    fairStore_ = std::min(rates.fair + maxUnits, fairStore_ + rates.fair * ms / 1000);
     const auto second = static_cast<std::int64_t>(nowMs / 1000);
     if (seconds_.empty() || seconds_.back().at != second) seconds_.push_back({second, 0, 0});
     while (seconds_.size() > kSecondsMost) seconds_.pop_front();
--- a/src/policy/volume_dues.hpp
+++ b/src/policy/volume_dues.hpp
@@ -19,8 +19,8 @@
         double reserve = 0, fair = 0;
     };
 
-    // A request came. `topUnits`: of the largest request, which each store holds beyond a second of its rate.
-    void arrive(double units, Rates rates, double topUnits, double nowMs);
+    // A request came. `maxUnits`: of the largest request, which each store holds beyond a second of its rate.
+    void arrive(double units, Rates rates, double maxUnits, double nowMs);
     // The dues of the second in which a request arrived; nullptr where they are forgotten.
     Second* of(double arrivedMs);
     // Whether a request has come beyond the reservation since.
--- a/src/settings/paths.hpp
+++ b/src/settings/flat_settings.hpp
@@ -14,18 +14,18 @@
 namespace spokewheel::settings {
 
 // A value that can't be used: its path and what is wanted there.
-struct Fault : std::runtime_error {
-    Fault(const std::string& at, const std::string& wanted)
+struct SettingError : std::runtime_error {
+    SettingError(const std::string& at, const std::string& wanted)
         : std::runtime_error("setting '" + at + "': expected " + wanted), path(at), expected(wanted) {}
     std::string path, expected;
 };
 
 // What the reader doesn't use is never looked up, and so ignored. Every getter leaves the value as it is
-// where the path is absent and throws Fault where it can't be read.
-class Paths {
+// where the path is absent and throws SettingError where it can't be read.
+class FlatSettings {
   public:
     using Values = std::map<std::string, std::string>;
-    explicit Paths(Values values) : values_(std::move(values)) {}
+    explicit FlatSettings(Values values) : values_(std::move(values)) {}
     void get(const std::string& path, double& value) const;
     void get(const std::string& path, int& value) const;
     void get(const std::string& path, bool& value) const;
@@ -35,7 +35,7 @@
         const auto* text = find(path);
         if (!text) return;
         const auto found = words.find(*text);
-        if (found == words.end()) throw Fault(path, "one of the known words");
+        if (found == words.end()) throw SettingError(path, "one of the known words");
         value = found->second;
     }
     std::vector<bool> flags(const std::string& path) const;
@@ -46,7 +46,7 @@
     Values values_;
 };
 
-// Throws Fault. That the figures don't contradict each other is the module's to check.
-Settings settingsFrom(const Paths& paths);
+// Throws SettingError. That the figures don't contradict each other is the module's to check.
+Settings settingsFrom(const FlatSettings& paths);
 
 }  // namespace spokewheel::settings
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -5,7 +5,7 @@
     settings.classes.resize(1);
     settings.classes[0].name = "read";
     settings.classes[0].effect = spokewheel::Effect::Repeatable;
-    settings.classes[0].aimMs = 500;
+    settings.classes[0].latencyTargetMs = 500;
     settings.plans.resize(1);
     settings.plans[0].name = "basic";
     spokewheel::Scheduler scheduler(settings, 1);
--- a/tests/gateway/attempt_guard_test.cpp
+++ b/tests/gateway/attempt_guard_test.cpp
@@ -22,7 +22,7 @@
         c.name = name;
         c.effect = effect;
         c.group = Group::Zone;
-        c.aimMs = 500, c.deadlineMs = 2500, c.memorySpanMs = 1500;
+        c.latencyTargetMs = 500, c.deadlineMs = 2500, c.keyRetentionMs = 1500;
         s.classes.push_back(c);
     }
     Plan plan;
@@ -66,7 +66,7 @@
 
 TEST_F(Guard, LetsSoundAttemptsBegin) {
     take("once");
-    attempt(Outcome::TurnedAway);
+    attempt(Outcome::Rejected);
     EXPECT_TRUE(guard.mayBegin("r", 1, "b", 200));
     EXPECT_EQ(monitor.total(), 0u);
 }
@@ -114,7 +114,7 @@
     expect(Violation::RepeatAfterKeyForgotten, "a", 1510);
 }
 TEST_F(Guard, FindsARepeatOverTheBudget) {
-    settings.extraFloor = 0, settings.extraShare = 0.5, settings.extraSpanMs = 1000;
+    settings.retryBudgetFloor = 0, settings.retryBudgetShare = 0.5, settings.retryBudgetSpanMs = 1000;
     take("read");
     attempt(Outcome::ServerError);
     expect(Violation::RepeatOverBudget);
--- a/tests/gateway/node_client_test.cpp
+++ b/tests/gateway/node_client_test.cpp
@@ -81,7 +81,7 @@
         return true;
     }
     Outcome ended() {
-        return turn([this] { return result_.has_value(); }) ? result_->outcome : Outcome::CalledOff;
+        return turn([this] { return result_.has_value(); }) ? result_->outcome : Outcome::Cancelled;
     }
     bool arrived() {
         return turn([this] { return node_.takeRequest(); });
@@ -109,7 +109,7 @@
     start(node_.address);
     ASSERT_TRUE(arrived());
     node_.answer("HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n");
-    EXPECT_EQ(ended(), Outcome::TurnedAway);
+    EXPECT_EQ(ended(), Outcome::Rejected);
     start(node_.address);
     ASSERT_TRUE(arrived());
     node_.answer("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
@@ -124,7 +124,7 @@
     start(node_.address);
     ASSERT_TRUE(arrived());
     node_.answer("HTTP/1.1 400 Bad Request\r\nWant-Repr-Digest: sha-256=10\r\nContent-Length: 0\r\n\r\n");
-    EXPECT_EQ(ended(), Outcome::TurnedAway);
+    EXPECT_EQ(ended(), Outcome::Rejected);
     start(node_.address);
     ASSERT_TRUE(arrived());
     node_.answer("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
--- a/tests/gateway/platform_attempt_test.cpp
+++ b/tests/gateway/platform_attempt_test.cpp
@@ -175,7 +175,7 @@
                                    ? "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
                                    : served("of another"));
         ASSERT_TRUE(turn([&] { return ended.size() == 1; }));
-        EXPECT_EQ(ended[0], turnedAway ? Outcome::TurnedAway : Outcome::NotSent);
+        EXPECT_EQ(ended[0], turnedAway ? Outcome::Rejected : Outcome::NotSent);
     }
 }
 
--- a/tests/gateway/session_model_test.cpp
+++ b/tests/gateway/session_model_test.cpp
@@ -565,7 +565,7 @@
     EXPECT_TRUE(fine);
     EXPECT_EQ(patience.counters().anew, 3u);
     // One whose time is over when its turn comes does not go out: its caller has been told, or is now.
-    settings.module.topUnits = 1;
+    settings.module.maxUnits = 1;
     std::vector<bool> refused;
     const auto ask = [&] {
         store->read(volume, 0, "o/x", 7, 7, "", [&](ReadResult r) { refused.push_back(r.refused); });
--- a/tests/module/fleet_test.cpp
+++ b/tests/module/fleet_test.cpp
@@ -23,10 +23,10 @@
 Sum coldNode(int hosts, bool peers, double offered, double rate) {
     auto settings = plainSettings();
     settings.hosts = hosts;
-    settings.mayTellPeers = peers;
-    settings.fallMs = 3000;
-    settings.tipMultiple = 4;
-    settings.coldUnits = settings.tipMultiple * settings.coldShare * rate * settings.fallMs / 1000;
+    settings.maySendToPeers = peers;
+    settings.overloadSpanMs = 3000;
+    settings.overloadFactor = 4;
+    settings.coldUnits = settings.overloadFactor * settings.coldShare * rate * settings.overloadSpanMs / 1000;
     std::vector<std::unique_ptr<Host>> fleet;
     for (int i = 0; i < hosts; ++i) {
         settings.rank = i;
@@ -61,9 +61,9 @@
                 queue.emplace_back(i, fleet[i]->sent[seen[i]]);
             }
         }
-        while (!window.empty() && window.front() <= now - settings.fallMs) window.pop_front();
+        while (!window.empty() && window.front() <= now - settings.overloadSpanMs) window.pop_front();
         sum.most = std::max(sum.most, settings.meanUnits * static_cast<double>(window.size()));
-        const double n = settings.tipMultiple * able * settings.fallMs / 1000 / settings.meanUnits;
+        const double n = settings.overloadFactor * able * settings.overloadSpanMs / 1000 / settings.meanUnits;
         sum.worst = std::max(sum.worst, static_cast<double>(window.size()) - (n + 2 * std::sqrt(n) + 2));
     }
     return sum;
--- a/tests/module/limit_lives_test.cpp
+++ b/tests/module/limit_lives_test.cpp
@@ -102,9 +102,9 @@
         auto s = plainSettings();
         s.hosts = play_.schedulers;
         s.rank = rank;
-        s.topUnits = play_.mostUnits;
-        s.mayTellPeers = play_.peers != Peers::None;
-        s.tellsBegun = true;
+        s.maxUnits = play_.mostUnits;
+        s.maySendToPeers = play_.peers != Peers::None;
+        s.reportsAttemptBegun = true;
         s.plans[1] = plan_;
         return s;
     }
--- a/tests/module/limit_test.cpp
+++ b/tests/module/limit_test.cpp
@@ -23,7 +23,7 @@
     s.hosts = hosts;
     s.rank = rank;
     // These are about how credit is split and lent: nothing is given up before its deadline.
-    for (auto& c : s.classes) c.aimMs = c.deadlineMs;
+    for (auto& c : s.classes) c.latencyTargetMs = c.deadlineMs;
     return s;
 }
 
@@ -51,7 +51,7 @@
     for (bool more = true; more;) {
         more = false;
         now += 2;
-        std::vector<std::vector<TellPeers>> told;
+        std::vector<std::vector<SendToPeers>> told;
         for (auto* host : hosts) told.push_back(std::exchange(host->told, {}));
         for (std::size_t from = 0; from < hosts.size(); ++from)
             for (const auto& message : told[from])
@@ -117,7 +117,7 @@
                 a.verdict(now - 1, a.sent[answered], Outcome::Served);
             a.runTo(now);
             b->runTo(now + offset);
-            std::vector<TellPeers> fromA, fromB;
+            std::vector<SendToPeers> fromA, fromB;
             fromA.swap(a.told);
             fromB.swap(b->told);
             for (auto& m : fromA) b->step(now + offset, {PeerMessage{0, m.bytes}});
@@ -299,7 +299,7 @@
         a.told.clear();
         a.step(kStart + 5001, {asked("first")});
         for (const auto& m : std::exchange(a.told, {})) b.step(kStart + 5003, {PeerMessage{0, m.bytes}});
-        std::vector<TellPeers> answers;
+        std::vector<SendToPeers> answers;
         for (const auto& m : b.told)
             if (readQuota(m.bytes, many(3, 0))) answers.push_back(m);
         ASSERT_EQ(answers.size(), 1u);
@@ -316,7 +316,7 @@
 // Its one host's part would fill again, beside that of the host that has its requests now.
 TEST(LimitShare, IsEmptyOnceTheVolumesRequestsMovedAwayAndCameBack) {
     auto settings = many(3, 0);
-    settings.noteLimits = true;
+    settings.reportLimitAccounts = true;
     Host host(settings);
     host.step(kStart, {list(fleet()), drawn("before", 1)});
     host.runTo(kStart + 300);
@@ -330,11 +330,11 @@
     for (const auto& bytes : pack(report)) host.step(kStart + 3010, {PeerMessage{1, bytes}});
     const auto actions = host.step(kStart + 3020, {drawn("after", 1)});
     const auto first = std::find_if(actions.begin(), actions.end(), [](const Action& action) {
-        const auto* note = std::get_if<LimitNote>(&action);
-        return note && note->moment == LimitNote::Moment::FirstSight;
+        const auto* note = std::get_if<LimitAccount>(&action);
+        return note && note->moment == LimitAccount::Moment::FirstSight;
     });
     ASSERT_NE(first, actions.end());
-    EXPECT_EQ(std::get<LimitNote>(*first).own, 0);
+    EXPECT_EQ(std::get<LimitAccount>(*first).own, 0);
 }
 
 // Guards against requests that no part of the limit could ever serve.
@@ -445,7 +445,7 @@
 // sent.
 TEST(Starved, WhatTheLimitCantReachIsRefusedAtTheNextBoundary) {
     auto settings = plainSettings();
-    settings.maxHoldOffMs = 1000;
+    settings.maxRetryAfterMs = 1000;
     Host host(settings);
     host.step(kStart, {list(fleet())});
     host.runTo(kStart + 2000);
--- a/tests/module/policy_test.cpp
+++ b/tests/module/policy_test.cpp
@@ -23,7 +23,7 @@
 TEST(Answers, WhatWasNeverSentIsRefusedBeforeHalfItsTime) {
     Host host(plainSettings());
     host.step(kStart, {list({node("a", 0)}), request("r", "read", 5), request("s", "read", 0)});
-    host.verdict(kStart + 5, host.sent.at(0), Outcome::TurnedAway);
+    host.verdict(kStart + 5, host.sent.at(0), Outcome::Rejected);
     host.step(kStart + 6, {list({node("a", 0, Lifecycle::Draining)})});
     host.runTo(kStart + 5000);
     ASSERT_TRUE(host.refused.count("r") && host.refused.count("s"));
@@ -52,7 +52,7 @@
     for (int i = 0; i < 5000 && !refused && (i == 0 || due >= 0); ++i) {
         due = -1;
         for (const auto& action : scheduler.step(now, events)) {
-            if (const auto* w = std::get_if<Remind>(&action)) due = now + w->afterMs - 0.0005;
+            if (const auto* w = std::get_if<SetTimer>(&action)) due = now + w->afterMs - 0.0005;
             refused = refused || std::holds_alternative<Refuse>(action);
         }
         if (due >= 0) now = due;
@@ -64,10 +64,10 @@
 
 TEST(Answers, EventsAboutUnknownOrFinishedThingsAreDropped) {
     Host host(plainSettings());
-    Verdict stray;
+    AttemptEnded stray;
     stray.id = "nobody";
     stray.node = "nowhere";
-    host.step(kStart, {list({node("a", 0)}), stray, ClientGone{"nobody"}, AnswerStarted{"nobody"},
+    host.step(kStart, {list({node("a", 0)}), stray, ClientGone{"nobody"}, ResponseStarted{"nobody"},
                        ProbeResult{"nowhere", Outcome::Served, 1}, request("r", "read", 0)});
     ASSERT_EQ(host.sent.size(), 1u);
     host.verdict(kStart + 20, host.sent[0], Outcome::Served);
@@ -126,7 +126,7 @@
 TEST(Effects, OnceMayGoAgainWhenItProvablyNeverRan) {
     Host host(plainSettings());
     host.step(kStart, {list({node("a", 0)}), request("r", "once", 0)});
-    host.verdict(kStart + 5, host.sent.at(0), Outcome::TurnedAway);
+    host.verdict(kStart + 5, host.sent.at(0), Outcome::Rejected);
     host.runTo(kStart + 500);
     EXPECT_EQ(host.sent.size(), 2u);
 }
@@ -199,7 +199,7 @@
         for (; answered < host.sent.size(); ++answered) {
             sum += units;
             if (i % 5 == 0) host.verdict(now + 1, host.sent[answered], Outcome::Served, true, 5);
-            else host.verdict(now + 1, host.sent[answered], Outcome::TurnedAway, true, 5);
+            else host.verdict(now + 1, host.sent[answered], Outcome::Rejected, true, 5);
         }
     }
     return sum;
@@ -227,7 +227,7 @@
         host.step(now, {request("c" + std::to_string(now), "once", 0, 1)});
         for (; answered < host.sent.size(); ++answered) {
             units += 1;
-            host.verdict(now + 1, host.sent[answered], Outcome::TurnedAway, true, 1);
+            host.verdict(now + 1, host.sent[answered], Outcome::Rejected, true, 1);
         }
     }
     return units;
@@ -381,9 +381,9 @@
 
 TEST(Budget, FurtherAttemptsStayWithinTheShareOfWhatWasTaken) {
     auto settings = plainSettings();
-    settings.extraFloor = 3;
-    settings.extraShare = 0.1;
-    settings.extraSpanMs = 5000;
+    settings.retryBudgetFloor = 3;
+    settings.retryBudgetShare = 0.1;
+    settings.retryBudgetSpanMs = 5000;
     Host host(settings);
     host.step(kStart, {list({node("a", 0)})});
     std::size_t answered = 0;
@@ -400,9 +400,9 @@
 // the span still.
 TEST(Budget, ARetryIsAllowedOnlyByWhatIsInTheSpanWhenItBegins) {
     auto settings = plainSettings();
-    settings.extraFloor = 0;
-    settings.extraShare = 0.25;
-    settings.extraSpanMs = 1000;
+    settings.retryBudgetFloor = 0;
+    settings.retryBudgetShare = 0.25;
+    settings.retryBudgetSpanMs = 1000;
     for (const double answeredAt : {300.0, 900.0}) {
         Host host(settings);
         std::vector<Event> events = {list({node("a", 0)})};
@@ -536,7 +536,7 @@
         }
         return std::string();
     };
-    EXPECT_NE(complaint([](Settings& s) { s.extraShare = 1.5; }).find("extraShare"), std::string::npos);
+    EXPECT_NE(complaint([](Settings& s) { s.retryBudgetShare = 1.5; }).find("extraShare"), std::string::npos);
     EXPECT_NE(complaint([](Settings& s) { s.plans[1].limit = -1; }).find("plans"), std::string::npos);
     EXPECT_NE(complaint([](Settings& s) { s.rank = 4; }).find("hosts"), std::string::npos);
     const auto names = [&complaint](const char* key, void (*spoil)(Settings&)) {
--- a/tests/module/support.hpp
+++ b/tests/module/support.hpp
@@ -15,18 +15,18 @@
     Settings s;
     s.hosts = 1;
     s.maxAttempts = 3;
-    s.mayTellPeers = true;
+    s.maySendToPeers = true;
     s.tickMs = 2;
     s.coldUnits = 6;
     s.coldMs = 16000;
     s.coldShare = 0.2;
-    s.tipMultiple = 2;
-    s.fallMs = 1000;
+    s.overloadFactor = 2;
+    s.overloadSpanMs = 1000;
     s.answerGraceMs = 8;
     s.drainGraceMs = 1000;
-    s.settleMs = 100;
+    s.settleAfterDoubtMs = 100;
     s.meanUnits = 2;
-    s.topUnits = 6;
+    s.maxUnits = 6;
     s.fairWorth = 0.35;
     s.spareWorth = 0.05;
     const auto add = [&s](const char* name, Effect effect, Group group, bool inOrder) {
@@ -35,9 +35,9 @@
         c.effect = effect;
         c.group = group;
         c.inOrder = inOrder;
-        c.aimMs = 500;
+        c.latencyTargetMs = 500;
         c.deadlineMs = 2500;
-        c.memorySpanMs = 1500;
+        c.keyRetentionMs = 1500;
         s.classes.push_back(c);
     };
     add("read", Effect::Repeatable, Group::All, false);
@@ -96,12 +96,12 @@
                 ++tries[a->id];
             } else if (const auto* r = std::get_if<Refuse>(&action)) {
                 refused[r->id] = now;
-                holdOff[r->id] = r->holdOffMs;
+                holdOff[r->id] = r->retryAfterMs;
             } else if (const auto* f = std::get_if<Fail>(&action)) {
                 failed[f->id] = now;
-            } else if (const auto* t = std::get_if<TellPeers>(&action)) {
+            } else if (const auto* t = std::get_if<SendToPeers>(&action)) {
                 told.push_back(*t);
-            } else if (const auto* w = std::get_if<Remind>(&action)) {
+            } else if (const auto* w = std::get_if<SetTimer>(&action)) {
                 due_.push_back(now + w->afterMs);
             } else if (std::holds_alternative<Subscribe>(action)) {
                 asked.push_back(now);
@@ -120,13 +120,13 @@
         }
     }
     void verdict(double now, const Attempt& a, Outcome outcome, bool ended = false, double took = 20) {
-        Verdict v;
+        AttemptEnded v;
         v.id = a.id;
         v.node = a.node;
         v.outcome = outcome;
         v.attempt = tries[a.id] - 1;
         v.tookMs = took;
-        v.ended = ended || outcome == Outcome::Served;
+        v.requestEnded = ended || outcome == Outcome::Served;
         step(now, {v});
     }
 
@@ -141,7 +141,7 @@
     std::map<std::string, int> tries;
     std::map<std::string, double> refused, failed;
     std::map<std::string, double> holdOff;  // of what was refused
-    std::vector<TellPeers> told;
+    std::vector<SendToPeers> told;
 
   private:
     Scheduler scheduler_;
