--- a/bench/lists.cpp
+++ b/bench/lists.cpp
@@ -25,8 +25,8 @@
     wire::rsync::Options options;
     options.recurse = true;
     wire::rsync::Filter filter(wire::rsync::Filter::Side::Sender);
-    fronts::rsync::ListBuilder builder(known, volume, options, {fronts::rsync::modulePath(volume, "maps/")},
-                                       filter, 1000000);
+    fronts::rsync::ListBuilder builder(known, volume, options,
+                                       {fronts::rsync::parseModulePath(volume, "maps/")}, filter, 1000000);
     Took out;
     for (bool done = false; !done;) {
         const auto from = Clock::now();
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -121,7 +121,7 @@
         Level::Info, "pulse",
         {{"sessions", std::to_string(rsync_->sessions())},
          {"seated", std::to_string(rsync_->places().seated())},
-         {"gave_way", std::to_string(rsync_->gaveWay())},
+         {"gave_way", std::to_string(rsync_->evictions())},
          {"open", std::to_string(host_->open())},
          {"taken", std::to_string(c.taken)},
          {"served", std::to_string(c.served)},
--- a/src/fronts/rsync/decide_deletions.hpp
+++ b/src/fronts/rsync/decide_deletions.hpp
@@ -10,23 +10,23 @@
 
 namespace spokewheel::fronts::rsync {
 
-struct Lying {
+struct ExistingEntry {
     std::string path;
     bool directory = false;
 };
-struct Deletions {
-    std::vector<std::size_t> go;  // places in what lies there; what a directory holds comes before it
-    std::uint64_t skipped = 0;    // that only the most allowed keeps
+struct DeletionPlan {
+    std::vector<std::size_t> toDelete;  // places in what lies there; what a directory holds comes before it
+    std::uint64_t skipped = 0;          // that only the most allowed keeps
 };
 
 // `lying` is in the order of paths. What goes is not `named`, lies in a directory of which the list has the
 // `content` or that goes itself, and may go by the client's rules. A directory stays while something in it
 // stays, or is kept there as a backup.
-inline Deletions deletions(const std::vector<Lying>& lying, const std::set<std::string>& named,
-                           const std::set<std::string>& content,
-                           const std::function<bool(const Lying&)>& mayGo,
-                           const std::function<bool(const Lying&)>& leavesBackup,
-                           std::optional<std::uint64_t> most) {
+inline DeletionPlan selectDeletions(const std::vector<ExistingEntry>& lying,
+                                    const std::set<std::string>& named, const std::set<std::string>& content,
+                                    const std::function<bool(const ExistingEntry&)>& mayGo,
+                                    const std::function<bool(const ExistingEntry&)>& leavesBackup,
+                                    std::optional<std::uint64_t> most) {
     std::set<std::string> gone, holds;
     std::vector<std::size_t> candidates;
     const auto parentOf = [](const std::string& path) {
@@ -44,12 +44,12 @@
         for (auto up = parent; !up.empty(); up = parentOf(up))
             if (!holds.insert(up).second) break;
     }
-    Deletions out;
+    DeletionPlan out;
     for (auto it = candidates.rbegin(); it != candidates.rend(); ++it) {
         const auto& one = lying[*it];
         if (one.directory && holds.count(one.path)) continue;
-        if (most && out.go.size() >= *most) ++out.skipped;
-        else out.go.push_back(*it);
+        if (most && out.toDelete.size() >= *most) ++out.skipped;
+        else out.toDelete.push_back(*it);
     }
     return out;
 }
--- a/src/fronts/rsync/listing.cpp
+++ b/src/fronts/rsync/listing.cpp
@@ -141,7 +141,7 @@
 }
 
 void ListBuilder::fault(std::string words) {
-    if (sorted_.faults.size() < 100) sorted_.faults.push_back(std::move(words));
+    if (sorted_.errors.size() < 100) sorted_.errors.push_back(std::move(words));
 }
 
 bool ListBuilder::full() {
@@ -151,7 +151,7 @@
     return true;
 }
 
-ModulePath modulePath(const std::string& volume, const std::string& argument) {
+ModulePath parseModulePath(const std::string& volume, const std::string& argument) {
     ModulePath out;
     std::string path = argument;
     if (path == volume) path.clear();
--- a/src/fronts/rsync/listing.hpp
+++ b/src/fronts/rsync/listing.hpp
@@ -18,7 +18,7 @@
 };
 struct Listing {
     std::deque<Listed> files;         // in the order both sides number them; never moved to grow
-    std::vector<std::string> faults;  // arguments that name nothing, options that can't be met
+    std::vector<std::string> errors;  // arguments that name nothing, options that can't be met
 };
 
 // A path of a client below its module: the module's name and slashes around are taken off, and what
@@ -30,7 +30,7 @@
     std::size_t base = 0;  // bytes of `path` that names in a relative list leave out, its slash included
     std::string fault;
 };
-ModulePath modulePath(const std::string& volume, const std::string& argument);
+ModulePath parseModulePath(const std::string& volume, const std::string& argument);
 
 // Makes such a list in steps of bounded work: walks the catalogue, then sorts. Everything it is given
 // outlives it. A path that changes while it walks is listed as it was or as it is.
--- a/src/fronts/rsync/receiving.cpp
+++ b/src/fronts/rsync/receiving.cpp
@@ -37,10 +37,10 @@
     listReader_ = std::make_unique<ListReader>(listForm(agreed_));
     // The client sends its rules where something here may need them.
     if (!o.remove && !o.pruneEmpty) state_ = State::List;
-    target_ = modulePath(agreed_.volume->name, o.paths.empty() ? "" : o.paths.back());
+    target_ = parseModulePath(agreed_.volume->name, o.paths.empty() ? "" : o.paths.back());
     if (!target_.fault.empty()) broken("path " + target_.fault);
     if (o.backupDir.empty()) return;
-    const auto dir = modulePath("", o.backupDir);
+    const auto dir = parseModulePath("", o.backupDir);
     if (!dir.fault.empty()) broken("--backup-dir " + dir.fault);
     backupDir_ = o.backupDir[0] == '/' ? dir.path : join(target_.path, dir.path.empty() ? "." : dir.path);
 }
@@ -379,17 +379,17 @@
     }
     const auto skip = target_.path.empty() ? 0 : target_.path.size() + 1;
     const auto shown = agreed_.store->catalogue().below(agreed_.volume->name, target_.path);
-    std::vector<Lying> lying;
+    std::vector<ExistingEntry> lying;
     for (const auto& v : shown) lying.push_back({v->path, v->kind == Kind::Directory});
-    const auto mayGo = [&](const Lying& one) {
+    const auto mayGo = [&](const ExistingEntry& one) {
         return !inBackups(one.path) &&
                !filter_.excluded(std::string_view(one.path).substr(skip), one.directory);
     };
-    const auto leavesBackup = [&](const Lying& one) {
+    const auto leavesBackup = [&](const ExistingEntry& one) {
         return agreed_.options.backup && backupDir_.empty() && !isBackup(one.path);
     };
-    const auto found = deletions(lying, named, content, mayGo, leavesBackup, agreed_.options.maxDelete);
-    for (const auto i : found.go) {
+    const auto found = selectDeletions(lying, named, content, mayGo, leavesBackup, agreed_.options.maxDelete);
+    for (const auto i : found.toDelete) {
         const auto& v = shown[i];
         auto chore = std::make_shared<Chore>();
         chore->version.path = v->path;
--- a/src/fronts/rsync/sending.cpp
+++ b/src/fronts/rsync/sending.cpp
@@ -96,7 +96,7 @@
       filter_(wire::rsync::Filter::Side::Sender),
       tokens_(agreed_.options.compress, agreed_.options.compressLevel),
       throttle_(agreed_.options.bytesPerS) {
-    for (const auto& p : agreed_.options.paths) paths_.push_back(modulePath(agreed_.volume->name, p));
+    for (const auto& p : agreed_.options.paths) paths_.push_back(parseModulePath(agreed_.volume->name, p));
 }
 
 Sending::~Sending() {
@@ -214,7 +214,7 @@
     const auto base = paths_.empty() ? ModulePath() : paths_.front();
     paths_.clear();
     for (const auto& n : names_) {
-        auto p = modulePath("", n);
+        auto p = parseModulePath("", n);
         p.trailingSlash = n.back() == '/';
         // Names in the list are those that the client gave: what it asked below is their base.
         if (p.fault.empty() && !base.path.empty()) {
@@ -258,8 +258,8 @@
 
 void Sending::startList() {
     // A list that may lack files must not make a client delete its own.
-    if (!context_.complete()) listing_.faults.emplace_back("not all storage nodes have been read yet");
-    for (const auto& fault : listing_.faults) {
+    if (!context_.complete()) listing_.errors.emplace_back("not all storage nodes have been read yet");
+    for (const auto& fault : listing_.errors) {
         ioError_ = kGeneralError;
         channel_.message(Message::ErrorXfer, "spokewheel: " + fault + "\n");
     }
--- a/src/fronts/rsync/server.cpp
+++ b/src/fronts/rsync/server.cpp
@@ -18,7 +18,7 @@
     const auto id = ++next_;
     const auto address = connection->remoteHost();
     if (const auto oldest = places_.enter(id, address)) {
-        ++gaveWay_;
+        ++evictions_;
         if (const auto found = sessions_.find(*oldest); found != sessions_.end()) {
             const auto session = found->second;
             session->giveWay();
--- a/src/fronts/rsync/server.hpp
+++ b/src/fronts/rsync/server.hpp
@@ -21,7 +21,7 @@
     void drain(std::function<void()> empty);
     void abort();
     std::size_t sessions() const { return sessions_.size(); }
-    std::uint64_t gaveWay() const { return gaveWay_; }
+    std::uint64_t evictions() const { return evictions_; }
     const Places& places() const { return places_; }
 
   private:
@@ -29,7 +29,7 @@
     Context& context_;
     std::map<std::uint64_t, std::shared_ptr<Session>> sessions_;
     Places places_;
-    std::uint64_t next_ = 0, gaveWay_ = 0;
+    std::uint64_t next_ = 0, evictions_ = 0;
     std::unique_ptr<io::Listener> listener_;
     std::function<void()> empty_;
 };
--- a/tests/gateway/parts_test.cpp
+++ b/tests/gateway/parts_test.cpp
@@ -133,23 +133,24 @@
 // A directory stays while something in it stays: counted against --max-delete it would end the client
 // with 25.
 TEST(Deletions, DirectoriesGoLastAndOnlyWhereNothingIsLeftInThem) {
-    using fronts::rsync::Lying;
-    const std::vector<Lying> lying = {{"a", true},    {"a/keep", false}, {"a/x", false},   {"b", true},
-                                      {"b/y", false}, {"c", true},       {"named", false}, {"out/z", false}};
-    const auto mayGo = [](const Lying& one) { return one.path != "a/keep"; };
-    const auto none = [](const Lying&) { return false; };
-    const auto names = [&](const fronts::rsync::Deletions& d) {
+    using fronts::rsync::ExistingEntry;
+    const std::vector<ExistingEntry> lying = {{"a", true},      {"a/keep", false}, {"a/x", false},
+                                              {"b", true},      {"b/y", false},    {"c", true},
+                                              {"named", false}, {"out/z", false}};
+    const auto mayGo = [](const ExistingEntry& one) { return one.path != "a/keep"; };
+    const auto none = [](const ExistingEntry&) { return false; };
+    const auto names = [&](const fronts::rsync::DeletionPlan& d) {
         std::string out;
-        for (const auto i : d.go) out += lying[i].path + " ";
+        for (const auto i : d.toDelete) out += lying[i].path + " ";
         return out;
     };
-    const auto all = fronts::rsync::deletions(lying, {"named"}, {""}, mayGo, none, {});
+    const auto all = fronts::rsync::selectDeletions(lying, {"named"}, {""}, mayGo, none, {});
     EXPECT_EQ(names(all), "c b/y b a/x ");
-    const auto some = fronts::rsync::deletions(lying, {"named"}, {""}, mayGo, none, 3);
+    const auto some = fronts::rsync::selectDeletions(lying, {"named"}, {""}, mayGo, none, 3);
     EXPECT_EQ(names(some), "c b/y b ");
     EXPECT_EQ(some.skipped, 1u);
-    const auto kept = fronts::rsync::deletions(lying, {"named"}, {""}, mayGo,
-                                               [](const Lying& one) { return one.path == "b/y"; }, {});
+    const auto kept = fronts::rsync::selectDeletions(
+        lying, {"named"}, {""}, mayGo, [](const ExistingEntry& one) { return one.path == "b/y"; }, {});
     EXPECT_EQ(names(kept), "c b/y a/x ");
 }
 
@@ -288,7 +289,7 @@
             std::vector<std::string> whole;
             for (const std::size_t slice : {std::size_t(100000), std::size_t(1), std::size_t(17)}) {
                 std::vector<ModulePath> paths;
-                for (const auto& a : cases[c]) paths.push_back(modulePath(volume, a));
+                for (const auto& a : cases[c]) paths.push_back(parseModulePath(volume, a));
                 ListBuilder builder(known, volume, options, paths, filter, 1000);
                 for (int i = 0; !builder.step(slice); ++i) {
                     ASSERT_LT(i, 100000);
@@ -297,7 +298,7 @@
                 std::vector<std::string> names;
                 const auto got = builder.take();
                 for (const auto& l : got.files) names.push_back(l.entry.name);
-                for (const auto& f : got.faults) names.push_back(f);
+                for (const auto& f : got.errors) names.push_back(f);
                 if (whole.empty()) whole = names;
                 EXPECT_EQ(names, whole) << "case " << c << " slice " << slice;
             }
