--- a/src/fronts/http/decide_connections.hpp
+++ b/src/fronts/http/decide_connections.hpp
@@ -1,4 +1,5 @@
-// Which client connection is closed, and when. Free of I/O and clocks; times are milliseconds of one clock.
+// Decides which client connections are closed, and when. Free of I/O and clocks; times are milliseconds on
+// one clock.
 #pragma once
 
 #include <array>
@@ -9,65 +10,71 @@
 // What is known of one connection.
 struct ConnectionState {
     enum class Phase {
-        Silent,    // connected, nothing has come yet
-        Speaking,  // a request has come in part
-        Open,      // a whole request waits for its answer
-        Idle,      // an answer went out and nothing has come since
-        Leaving    // the write side is shut, or will be after what is queued; no request is read any more
+        Silent,     // connected, no byte received yet
+        Receiving,  // part of a request received
+        Open,       // a complete request waits for its answer
+        Idle,       // answered, and no byte received since
+        Closing     // the write side is shut down, or will be once the queue is sent; no request is read
     } phase = Phase::Silent;
-    double since = 0;       // when this phase began; of the first request on a connection: when it connected
-    bool first = true;      // no whole request has come on it yet
-    double flushedAt = -1;  // Leaving: when all that was queued had gone to the system; below zero: not yet
-    bool unread = false;    // bytes, or its end, wait in the socket
-    bool ended = false;     // Leaving: the other side has ended too
-    double lastByteAt = 0;  // Speaking: when something came last
+    double since = 0;       // start of this phase; until the first request is complete, of the connection
+    bool first = true;      // no complete request received yet
+    double flushedAt = -1;  // Closing: when the queue had been handed to the kernel; negative: not yet
+    bool unread = false;    // bytes or an end of stream wait in the socket
+    bool hungUp = false;    // Closing: the peer has ended its side too
+    double lastByteAt = 0;  // Receiving: when the latest bytes were read
 };
 
-// The first request on a connection must have come whole this long after it was made: a client that can't be
-// read is owed an error or a close within 3 s of connecting. One that has been read before may write slowly,
-// but is owed the same once nothing more comes.
-constexpr double kFirstRequestMs = 2600, kLaterRequestMs = 6000, kStoppedMs = 2500;
-// A kept connection without a request. With room it stays: it is what a client has left where this scheduler
-// is told to stop. Without, it closes as soon as the platform allows: some clients ask once and keep theirs
-// for good. A request that crosses the close is sent again by its client, for nothing of it was read.
-constexpr double kIdleMs = 20000, kIdleShortMs = 2050;
-// How long the end of a client is waited for after its answer was handed to the system, so that a reset
-// doesn't eat it, and how long a slow reader has until then.
-constexpr double kLeaveMs = 500, kFlushMs = 5000;
-constexpr std::size_t kLeaveBytes = 256 * 1024;
-// What may come behind an open request, of one connection and of all; and how much of a flood beyond it is
-// read and dropped, so that the client's end is seen, before reading rests until the request has its answer.
-constexpr std::size_t kMostAhead = 512 * 1024, kLeastAhead = 32 * 1024, kMostFlood = 8 * 1024 * 1024;
-inline bool aheadFits(std::size_t ofThis, std::size_t ofAll, std::size_t mostOfAll) {
-    return ofThis <= kLeastAhead || (ofThis <= kMostAhead && ofAll <= mostOfAll);
+// The first request must be complete this long after the connection was made: the platform demands an error
+// or a close within 3 s of connecting for clients that send no valid request. Later requests may arrive
+// slowly, but a stalled one gets the same treatment.
+constexpr double kFirstRequestTimeoutMs = 2600, kLaterRequestTimeoutMs = 6000, kStallTimeoutMs = 2500;
+// Idle timeouts. With ample capacity idle connections stay: while this scheduler shuts down, its clients
+// can't make new ones. With less they close as soon as the platform allows, since some clients send one
+// request and keep their connection forever. A request that crosses the close is repeated by its client, as
+// none of it was read.
+constexpr double kIdleTimeoutMs = 20000, kShortIdleTimeoutMs = 2050;
+// How long to wait for the client's end of stream after its answer was handed to the kernel, so that a reset
+// does not destroy the answer; and how long a slow reader may take until the answer has been handed over.
+constexpr double kCloseLingerMs = 500, kFlushTimeoutMs = 5000;
+// Bytes that are discarded on a closing connection before it is closed at once.
+constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;
+// Bytes that may be pipelined behind an open request: the most for one connection, and what each connection
+// may always have whatever the total; and how much more is read and discarded, so that the client's end of
+// stream is noticed, before reading pauses until the request is answered.
+constexpr std::size_t kMaxPipelinedBytes = 512 * 1024, kMinPipelinedBytes = 32 * 1024,
+                      kMaxFloodBytes = 8 * 1024 * 1024;
+// `total` and `maxTotal` are sums over all connections.
+inline bool pipelinedFits(std::size_t ofConnection, std::size_t total, std::size_t maxTotal) {
+    return ofConnection <= kMinPipelinedBytes || (ofConnection <= kMaxPipelinedBytes && total <= maxTotal);
 }
 
-// For requests clients hold at most a third of the descriptors, what idles of theirs counted in: once that is
-// full, requests find no connection.
-inline std::size_t heldForRequests(std::size_t descriptors) { return descriptors / 3; }
-enum class Room {
-    Plenty,
-    Short,  // idle connections give theirs up early
-    None    // each answer ends its connection, so that the place goes to whoever has a request
+// Clients' connections may take a third of the descriptors, idle ones included; beyond that requests can't
+// get a connection.
+inline std::size_t maxRequestConnections(std::size_t descriptors) { return descriptors / 3; }
+enum class Capacity {
+    Ample,
+    Short,     // idle connections are closed early
+    Exhausted  // each answer closes its connection, which makes room for clients that have a request
 };
-inline Room roomOf(std::size_t connections, std::size_t descriptors) {
-    constexpr double kShort = 0.5, kNone = 0.85;  // of the third
-    const double part = static_cast<double>(connections) / static_cast<double>(heldForRequests(descriptors));
-    return part > kNone ? Room::None : part > kShort ? Room::Short : Room::Plenty;
+inline Capacity capacityOf(std::size_t connections, std::size_t descriptors) {
+    constexpr double kShort = 0.5, kExhausted = 0.85;  // fractions of maxRequestConnections()
+    const double used =
+        static_cast<double>(connections) / static_cast<double>(maxRequestConnections(descriptors));
+    return used > kExhausted ? Capacity::Exhausted : used > kShort ? Capacity::Short : Capacity::Ample;
 }
 
-// Why a connection ended; logged with SPOKEWHEEL_TRACE and counted in the pulse.
+// Why a connection ended; logged with SPOKEWHEEL_TRACE and counted in the log event `pulse_closes`.
 enum class CloseReason {
     ByClient,        // the client closed or reset it
-    LastAnswer,      // the client asked for it, or places run out
-    Idle,            // no request for kIdleMs, or kIdleShortMs where places run short
-    Silent,          // nothing came on a new connection
-    Draining,        // this process ends
-    Unreadable,      // what came is no request
-    RequestTimeout,  // half a request, and no more
-    GaveWay,         // at the cap, to a new connection
-    FlushTimeout,    // the client doesn't read its answer
-    Flood,           // far too much behind an open request
+    LastAnswer,      // closed after an answer, at the client's request or because capacity is exhausted
+    Idle,            // no request for kIdleTimeoutMs, or kShortIdleTimeoutMs if capacity is short
+    Silent,          // nothing received on a new connection
+    Draining,        // this process shuts down
+    Unreadable,      // malformed request
+    RequestTimeout,  // a request was not completed in time
+    GaveWay,         // evicted at the connection limit in favour of a new connection
+    FlushTimeout,    // the client does not read its answer
+    Flood,           // too many bytes pipelined behind an open request
     Count
 };
 inline const char* nameOf(CloseReason reason) {
@@ -77,53 +84,58 @@
     return kNames[static_cast<std::size_t>(reason)];
 }
 
-enum class Do {
+enum class CloseAction {
     Keep,
-    Leave,         // shut the write side after what is queued, close at the other's end
-    TellAndLeave,  // the same after an error
-    Close          // at once
+    ShutDown,           // shut down the write side once the queue is sent; close when the peer has ended too
+    ErrorThenShutDown,  // the same after an error response
+    Close               // at once
 };
 
 struct Decision {
-    Do action = Do::Keep;
-    CloseReason reason = CloseReason::ByClient;  // of any action but Keep
+    CloseAction action = CloseAction::Keep;
+    CloseReason reason = CloseReason::ByClient;  // meaningless for Keep
 };
 
-// `draining`: this scheduler is told to end, and what rests is ended too.
-inline Decision decide(const ConnectionState& s, Room room, bool draining, double nowMs) {
-    const double past = nowMs - s.since;
+// What to do with a connection now. `draining`: this scheduler shuts down, so connections without a request
+// are ended as well.
+inline Decision decide(const ConnectionState& s, Capacity capacity, bool draining, double nowMs) {
+    const double elapsedMs = nowMs - s.since;
     switch (s.phase) {
         case ConnectionState::Phase::Open:
             return {};
-        case ConnectionState::Phase::Speaking:
-            if (past < (s.first ? kFirstRequestMs : kLaterRequestMs) &&
-                (s.first || nowMs - s.lastByteAt < kStoppedMs))
+        case ConnectionState::Phase::Receiving:
+            if (elapsedMs < (s.first ? kFirstRequestTimeoutMs : kLaterRequestTimeoutMs) &&
+                (s.first || nowMs - s.lastByteAt < kStallTimeoutMs))
                 return {};
-            return {Do::TellAndLeave, CloseReason::RequestTimeout};
+            return {CloseAction::ErrorThenShutDown, CloseReason::RequestTimeout};
         case ConnectionState::Phase::Silent:
-            if (s.unread || (!draining && past < kFirstRequestMs)) return {};
-            return {Do::Leave, draining ? CloseReason::Draining : CloseReason::Silent};
+            if (s.unread || (!draining && elapsedMs < kFirstRequestTimeoutMs)) return {};
+            return {CloseAction::ShutDown, draining ? CloseReason::Draining : CloseReason::Silent};
         case ConnectionState::Phase::Idle:
-            if (s.unread || (!draining && past < (room == Room::Plenty ? kIdleMs : kIdleShortMs))) return {};
-            return {Do::Leave, draining ? CloseReason::Draining : CloseReason::Idle};
-        case ConnectionState::Phase::Leaving:
-            if (s.ended) return {Do::Close, CloseReason::LastAnswer};
+            if (s.unread || (!draining && elapsedMs < (capacity == Capacity::Ample ? kIdleTimeoutMs
+                                                                                   : kShortIdleTimeoutMs)))
+                return {};
+            return {CloseAction::ShutDown, draining ? CloseReason::Draining : CloseReason::Idle};
+        case ConnectionState::Phase::Closing:
+            if (s.hungUp) return {CloseAction::Close, CloseReason::LastAnswer};
             if (s.flushedAt < 0)
-                return past >= kFlushMs ? Decision{Do::Close, CloseReason::FlushTimeout} : Decision{};
-            return nowMs - s.flushedAt >= kLeaveMs ? Decision{Do::Close, CloseReason::LastAnswer}
-                                                   : Decision{};
+                return elapsedMs >= kFlushTimeoutMs ? Decision{CloseAction::Close, CloseReason::FlushTimeout}
+                                                    : Decision{};
+            return nowMs - s.flushedAt >= kCloseLingerMs
+                       ? Decision{CloseAction::Close, CloseReason::LastAnswer}
+                       : Decision{};
     }
     return {};
 }
 
-// Whether `a` goes before `b` where there are too many. One with an open request never goes; of the others
-// those that have their answer, then the one that has been without a whole request for longest, then those of
-// which something waits to be read or written.
-inline bool goesBefore(const ConnectionState& a, const ConnectionState& b) {
+// Whether `a` is evicted before `b` at the connection limit. For connections without an open request, which
+// are never evicted. Answered and flushed connections go first, then those that have been without a complete
+// request for longest, then those with unread or unsent data.
+inline bool evictedBefore(const ConnectionState& a, const ConnectionState& b) {
     const auto rank = [](const ConnectionState& s) {
-        if (s.phase == ConnectionState::Phase::Leaving) {
-            if (s.ended) return 0;
-            // A close over unread bytes is a reset, which may overtake the answer.
+        if (s.phase == ConnectionState::Phase::Closing) {
+            if (s.hungUp) return 0;
+            // Closing a socket with unread bytes sends a reset, which may overtake the answer.
             return s.flushedAt < 0 ? 3 : s.unread ? 2 : 0;
         }
         return s.unread ? 2 : 1;
@@ -132,14 +144,15 @@
     return a.since < b.since;
 }
 
-// How the descriptors that the process may hold are shared out, both as bounds. What is neither clients' nor
-// nodes' is for the loop, the listener, discovery (two while its address changes), datagrams and the log.
-struct Shares {
+// Upper bounds on the descriptors for connections to clients and to nodes. The rest is reserved for the loop,
+// the listener, discovery (two connections while its address changes), datagram sockets and the log.
+struct DescriptorShares {
     std::size_t clients = 0, nodes = 0;
 };
-inline Shares sharesOf(std::size_t descriptors) {
-    constexpr std::size_t kReserve = 24, kLeast = 8;
-    const std::size_t free = descriptors > kReserve + 2 * kLeast ? descriptors - kReserve : 2 * kLeast;
+inline DescriptorShares splitDescriptors(std::size_t descriptors) {
+    constexpr std::size_t kReserved = 24, kMinShare = 8;
+    const std::size_t free =
+        descriptors > kReserved + 2 * kMinShare ? descriptors - kReserved : 2 * kMinShare;
     return {free / 2, free - free / 2};
 }
 
--- a/src/fronts/http/decode_request.hpp
+++ b/src/fronts/http/decode_request.hpp
@@ -1,5 +1,5 @@
-// What a request of the platform asks for: its head read into host::Work, or the status it is answered with.
-// Free of I/O and clocks; nothing here is a matter of load, which is the module's alone.
+// Decodes the head of a platform request into host::Work, or into the status and text of the error response.
+// Free of I/O and clocks. Independent of load: refusing requests under load is up to the scheduling module.
 #pragma once
 
 #include <string>
@@ -11,18 +11,18 @@
 namespace spokewheel::fronts::http {
 
 struct DecodedRequest {
-    int status = 0;     // 0: it can be worked on; else a 4xx, with `words` for people
+    int status = 0;     // 0: valid request; otherwise a 4xx status, with `error` as the response body
     std::string error;  // what is wrong, naming the field
-    std::string id;     // X-Request-ID as it came
+    std::string id;     // X-Request-ID as received
     host::Work work;    // the exchange has no body yet; arrivedMs is not set
 };
 
-// The most that a body may hold, in bytes. Answers of the platform are longer than its page says: 350 KB were
-// seen. One that is said to be longer than this is not waited for.
-constexpr std::uint64_t kMostBody = 64 * 1024, kMostAnswer = 2 * 1024 * 1024;
+// Maximum sizes of request and answer bodies. The platform's answers can be longer than it documents: 350 KB
+// were observed. An answer that announces more than this is not waited for.
+constexpr std::uint64_t kMaxBodyBytes = 64 * 1024, kMaxAnswerBytes = 2 * 1024 * 1024;
 
-// Checks all that would make two readers disagree, and that class, plan and figures are ones the settings
-// know.
+// Rejects anything that two implementations could interpret differently, unknown classes and plans, and
+// numbers out of range.
 DecodedRequest decodeRequest(const wire::http::Head& head, const Settings& settings);
 
 }  // namespace spokewheel::fronts::http
--- a/src/fronts/http/server.cpp
+++ b/src/fronts/http/server.cpp
@@ -13,20 +13,20 @@
 struct Server::Session {
     std::uint64_t number = 0;
     std::shared_ptr<io::Connection> connection;
-    wire::http::Parser parser{wire::http::Parser::Kind::Request, {16 * 1024, 64, kMostBody}};
+    wire::http::Parser parser{wire::http::Parser::Kind::Request, {16 * 1024, 64, kMaxBodyBytes}};
     ConnectionState state;
     DecodedRequest decoded;
     std::string body;
-    // What came behind the open request, and when: not looked at until that is answered.
-    std::deque<std::pair<double, std::string>> ahead;
-    std::size_t aheadBytes = 0;
-    std::string hostId;                 // of the open request
-    std::size_t dropped = 0;            // bytes read while leaving, or of a flood
-    bool flooded = false;               // more came behind the open request than is kept
-    double arrivedAt = 0;               // of what is parsed now, on io::nowMs()
-    bool isReady = false;               // the request is the one for readiness
-    bool failed = false;                // an error ended it: what still comes is owed nothing
-    std::optional<CloseReason> reason;  // set once this side has begun to end it
+    // Bytes received behind the open request, with their arrival times; parsed once that is answered.
+    std::deque<std::pair<double, std::string>> pipelined;
+    std::size_t pipelinedBytes = 0;
+    std::string hostRequestId;          // the host's id of the open request; empty if there is none
+    std::size_t dropped = 0;            // bytes discarded while closing or beyond the pipelining limit
+    bool flooded = false;               // more bytes came behind the open request than are kept
+    double arrivedAt = 0;               // of the bytes being parsed, on io::nowMs()
+    bool isReadinessCheck = false;      // the current request is GET /ready
+    bool failed = false;                // ended by an error response: later bytes need no answer
+    std::optional<CloseReason> reason;  // set once this side has begun to close the connection
 };
 
 namespace {
@@ -35,11 +35,14 @@
 
 }  // namespace
 
-Server::Server(host::Host& host, const Settings& settings, const io::Address& at, Caps caps)
-    : host_(host), settings_(settings), caps_(caps), most_(sharesOf(caps.descriptors).clients) {
+Server::Server(host::Host& host, const Settings& settings, const io::Address& address, Caps caps)
+    : host_(host),
+      settings_(settings),
+      caps_(caps),
+      maxConnections_(splitDescriptors(caps.descriptors).clients) {
     listener_ = std::make_unique<io::Listener>(
-        at, [this](std::shared_ptr<io::Connection> c) { onAccepted(std::move(c)); });
-    sweep_.arm(kSweepMs, [this] { sweep(); });
+        address, [this](std::shared_ptr<io::Connection> c) { onAccepted(std::move(c)); });
+    sweepTimer_.arm(kSweepMs, [this] { sweep(); });
 }
 
 Server::~Server() {
@@ -47,23 +50,23 @@
     for (auto& [number, s] : sessions_) s->connection->close();
 }
 
-void Server::enter(Session& s, Phase phase) {
-    // The time of a first request runs from when its connection was made.
-    const bool goesOn = phase == Phase::Speaking && s.state.first;
+void Server::enterPhase(Session& s, Phase phase) {
+    // The time-out of the first request counts from when the connection was made.
+    const bool keepsStart = phase == Phase::Receiving && s.state.first;
     s.state.phase = phase;
-    if (!goesOn) s.state.since = io::nowMs();
+    if (!keepsStart) s.state.since = io::nowMs();
     s.state.flushedAt = -1;
 }
 
 void Server::onAccepted(std::shared_ptr<io::Connection> connection) {
-    if (sessions_.size() >= most_) makeRoom();
+    if (sessions_.size() >= maxConnections_) evictConnection();
     auto s = std::make_shared<Session>();
     s->number = ++nextSession_;
     s->connection = std::move(connection);
-    enter(*s, Phase::Silent);
+    enterPhase(*s, Phase::Silent);
     sessions_[s->number] = s;
     ++counts_.connections;
-    counts_.most = std::max(counts_.most, sessions_.size());
+    counts_.peakConnections = std::max(counts_.peakConnections, sessions_.size());
     const std::weak_ptr<Session> weak = s;
     s->connection->setHandler({{},
                                [this, weak](std::string_view bytes) {
@@ -75,66 +78,70 @@
                                }});
 }
 
-const ConnectionState& Server::observe(Session& s) {
-    auto& now = s.state;
-    now.unread = now.phase != Phase::Open && s.connection->readable();
-    now.ended = now.phase == Phase::Leaving && s.connection->hungUp();
-    if (now.phase == Phase::Leaving && now.flushedAt < 0 && s.connection->queued() == 0)
-        now.flushedAt = io::nowMs();
-    return now;
+const ConnectionState& Server::updateState(Session& s) {
+    auto& state = s.state;
+    state.unread = state.phase != Phase::Open && s.connection->readable();
+    state.hungUp = state.phase == Phase::Closing && s.connection->hungUp();
+    if (state.phase == Phase::Closing && state.flushedAt < 0 && s.connection->queued() == 0)
+        state.flushedAt = io::nowMs();
+    return state;
 }
 
-// The connections are few enough to look at each; this happens only at the cap. Where each holds an open
-// request, who comes waits in the system's queue until one ends.
-void Server::makeRoom() {
-    SessionPtr first;
+// Called at the connection limit only, so a scan over all connections is cheap enough. If every connection
+// has an open request, new ones wait in the kernel's backlog until one ends.
+void Server::evictConnection() {
+    SessionPtr victim;
     for (const auto& [number, s] : sessions_)
-        if (s->state.phase != Phase::Open && (!first || goesBefore(observe(*s), first->state))) first = s;
-    if (!first) return listener_->pause();
+        if (s->state.phase != Phase::Open && (!victim || evictedBefore(updateState(*s), victim->state)))
+            victim = s;
+    if (!victim) return listener_->pause();
     ++counts_.gaveWay;
-    close(first, CloseReason::GaveWay);
+    close(victim, CloseReason::GaveWay);
 }
 
-Room Server::room() const { return accepting_ ? roomOf(sessions_.size(), caps_.descriptors) : Room::Plenty; }
+Capacity Server::capacity() const {
+    return expectsConnections_ ? capacityOf(sessions_.size(), caps_.descriptors) : Capacity::Ample;
+}
 
 void Server::sweep() {
     const double now = io::nowMs();
-    listener_->observeQueue();
-    if (!listening_) listener_->finish();
-    const auto room = this->room();
-    std::vector<std::pair<SessionPtr, Decision>> over;
+    listener_->observeBacklog();
+    if (!listening_) listener_->acceptPendingThenStop();
+    const auto capacity = this->capacity();
+    std::vector<std::pair<SessionPtr, Decision>> ending;
     for (const auto& [number, s] : sessions_)
-        if (const auto what = decide(observe(*s), room, draining_, now); what.action != Do::Keep)
-            over.emplace_back(s, what);
-    for (const auto& [s, what] : over)
-        if (what.action == Do::TellAndLeave)
-            error(s, 408, "the request did not come whole in time", what.reason);
-        else if (what.action == Do::Leave) leave(s, what.reason);
-        else close(s, what.reason);
-    if (draining_ && drained_ && sessions_.empty() && !listener_->pending()) {
+        if (const auto decision = decide(updateState(*s), capacity, draining_, now);
+            decision.action != CloseAction::Keep)
+            ending.emplace_back(s, decision);
+    for (const auto& [s, decision] : ending)
+        if (decision.action == CloseAction::ErrorThenShutDown)
+            sendError(s, 408, "the request did not come whole in time", decision.reason);
+        else if (decision.action == CloseAction::ShutDown) shutDown(s, decision.reason);
+        else close(s, decision.reason);
+    if (draining_ && onDrained_ && sessions_.empty() && !listener_->hasPending()) {
         listener_->stop();
-        return std::exchange(drained_, nullptr)();
+        return std::exchange(onDrained_, nullptr)();
     }
-    sweep_.arm(kSweepMs, [this] { sweep(); });
+    sweepTimer_.arm(kSweepMs, [this] { sweep(); });
 }
 
 void Server::drain(std::function<void()> done) {
-    ready_ = false;
+    reportsReady_ = false;
     draining_ = true;
-    drained_ = std::move(done);
+    onDrained_ = std::move(done);
 }
 
 void Server::stopListening() {
     listening_ = false;
-    listener_->finish();
+    listener_->acceptPendingThenStop();
 }
 
 void Server::onData(const SessionPtr& s, std::string_view bytes) {
     switch (s->state.phase) {
         case Phase::Open:
-            return keepAhead(s, bytes);
-        case Phase::Leaving:
-            if ((s->dropped += bytes.size()) > kLeaveBytes) close(s, CloseReason::Flood);
+            return bufferPipelined(s, bytes);
+        case Phase::Closing:
+            if ((s->dropped += bytes.size()) > kMaxDiscardedBytes) close(s, CloseReason::Flood);
             return;
         default:
             s->state.lastByteAt = io::nowMs();
@@ -143,24 +150,24 @@
     }
 }
 
-// Reading goes on, so that the client's end is seen; what is beyond the bound is dropped, and the connection
-// ends once what came before it is answered.
-void Server::keepAhead(const SessionPtr& s, std::string_view bytes) {
-    if (!s->flooded && aheadFits(s->aheadBytes + bytes.size(), aheadBytes_ + bytes.size(), caps_.ahead)) {
-        s->ahead.emplace_back(s->connection->arrivedAtMs(), bytes);
-        s->aheadBytes += bytes.size();
-        aheadBytes_ += bytes.size();
+// Reading continues, so that the client's end of stream is noticed. Bytes beyond the limit are discarded, and
+// the connection ends once the requests before them are answered.
+void Server::bufferPipelined(const SessionPtr& s, std::string_view bytes) {
+    if (!s->flooded &&
+        pipelinedFits(s->pipelinedBytes + bytes.size(), pipelinedBytes_ + bytes.size(), caps_.pipelined)) {
+        s->pipelined.emplace_back(s->connection->arrivedAtMs(), bytes);
+        s->pipelinedBytes += bytes.size();
+        pipelinedBytes_ += bytes.size();
         return;
     }
     s->flooded = true;
     s->dropped += bytes.size();
-    if (s->dropped > kMostFlood)
-        s->connection->pauseReading();  // its open request has its answer all the same
+    if (s->dropped > kMaxFloodBytes) s->connection->pauseReading();  // the open request is still answered
 }
 
-void Server::forgetAhead(Session& s) {
-    aheadBytes_ -= std::exchange(s.aheadBytes, 0);
-    s.ahead.clear();
+void Server::dropPipelined(Session& s) {
+    pipelinedBytes_ -= std::exchange(s.pipelinedBytes, 0);
+    s.pipelined.clear();
 }
 
 void Server::parse(const SessionPtr& s, std::string_view bytes) {
@@ -168,14 +175,14 @@
     std::string_view body;
     while (s->connection->open()) {
         if (s->state.phase == Phase::Open) {
-            // It came with what is open now, before all that came since.
-            if (!bytes.empty()) s->ahead.emplace_front(s->arrivedAt, bytes);
-            s->aheadBytes += bytes.size();
-            aheadBytes_ += bytes.size();
+            // These bytes arrived with the request that is open now, ahead of any buffered since.
+            if (!bytes.empty()) s->pipelined.emplace_front(s->arrivedAt, bytes);
+            s->pipelinedBytes += bytes.size();
+            pipelinedBytes_ += bytes.size();
             return;
         }
-        if (s->state.phase == Phase::Leaving) return;
-        if (!bytes.empty() && s->state.phase != Phase::Speaking) enter(*s, Phase::Speaking);
+        if (s->state.phase == Phase::Closing) return;
+        if (!bytes.empty() && s->state.phase != Phase::Receiving) enterPhase(*s, Phase::Receiving);
         switch (s->parser.next(bytes, body)) {
             case Got::More:
                 return;
@@ -186,22 +193,22 @@
                 s->body += body;
                 break;
             case Got::End:
-                onWhole(s);
+                onRequest(s);
                 break;
             case Got::Bad:
-                return error(s, 400, s->parser.error());
+                return sendError(s, 400, s->parser.error());
         }
     }
 }
 
-// False where the request has been answered already.
+// Returns false if the request has already been answered with an error.
 bool Server::onHead(const SessionPtr& s) {
     const auto& head = s->parser.head();
-    s->isReady = head.method == "GET" && head.target == "/ready";
-    if (s->isReady) return true;
+    s->isReadinessCheck = head.method == "GET" && head.target == "/ready";
+    if (s->isReadinessCheck) return true;
     s->decoded = decodeRequest(head, settings_);
     if (s->decoded.status) {
-        error(s, s->decoded.status, s->decoded.error);
+        sendError(s, s->decoded.status, s->decoded.error);
         return false;
     }
     if (const auto* expect = head.find("Expect"); expect && wire::http::sameName(*expect, "100-continue")) {
@@ -211,13 +218,14 @@
     return true;
 }
 
-void Server::onWhole(const SessionPtr& s) {
+void Server::onRequest(const SessionPtr& s) {
     const bool last = s->parser.closes();
     s->state.first = false;
-    if (s->isReady) return answer(s, ready_ ? 200 : 503, {}, "", last);
+    if (s->isReadinessCheck) return sendAnswer(s, reportsReady_ ? 200 : 503, {}, "", last);
     if (s->decoded.work.exchange->method == "GET" && !s->body.empty())
-        return error(s, 400, "a GET with a body");
-    if (!openIds_.insert(s->decoded.id).second) return error(s, 409, "X-Request-ID is of an open request");
+        return sendError(s, 400, "a GET with a body");
+    if (!openRequestIds_.insert(s->decoded.id).second)
+        return sendError(s, 409, "X-Request-ID is of an open request");
     ++counts_.requests;
     auto work = std::move(s->decoded.work);
     if (work.exchange->method == "PUT") {
@@ -226,26 +234,26 @@
         work.exchange = std::move(exchange);
     }
     work.arrivedMs = s->arrivedAt;
-    // The loop may be held up between its look at the sockets and an attempt: a client that has gone
-    // meanwhile is found by reading what waits.
+    // The loop may be delayed between its poll and an attempt; reading what is pending finds out whether the
+    // client has gone meanwhile.
     work.awaited = [connection = s->connection] {
         connection->readPending();
         return connection->open();
     };
-    enter(*s, Phase::Open);
-    s->hostId = host_.submit(std::move(work), [this, alive = alive_, s](host::Answer a) {
+    enterPhase(*s, Phase::Open);
+    s->hostRequestId = host_.submit(std::move(work), [this, alive = alive_, s](host::Answer a) {
         if (*alive) onAnswer(s, std::move(a));
     });
 }
 
 void Server::onAnswer(const SessionPtr& s, host::Answer a) {
-    openIds_.erase(s->decoded.id);
-    s->hostId.clear();
+    openRequestIds_.erase(s->decoded.id);
+    s->hostRequestId.clear();
     const bool last = s->parser.closes();
     wire::http::Fields fields;
     switch (a.kind) {
         case host::Answer::Kind::Served:
-            answer(s, 200, {}, a.body, last);
+            sendAnswer(s, 200, {}, a.body, last);
             break;
         case host::Answer::Kind::Refused:
             if (a.holdOffMs > 0) {
@@ -253,63 +261,63 @@
                 std::snprintf(seconds, sizeof seconds, "%.3f", a.holdOffMs / 1000);
                 fields.emplace_back("Retry-After", seconds);
             }
-            answer(s, 503, std::move(fields), "", last);
+            sendAnswer(s, 503, std::move(fields), "", last);
             break;
         case host::Answer::Kind::Failed:
-            answer(s, 502, {}, "", last);
+            sendAnswer(s, 502, {}, "", last);
             break;
     }
-    while (s->state.phase != Phase::Open && s->state.phase != Phase::Leaving && !s->ahead.empty()) {
-        const auto [at, bytes] = std::move(s->ahead.front());
-        s->ahead.pop_front();
-        s->aheadBytes -= bytes.size();
-        aheadBytes_ -= bytes.size();
+    while (s->state.phase != Phase::Open && s->state.phase != Phase::Closing && !s->pipelined.empty()) {
+        const auto [at, bytes] = std::move(s->pipelined.front());
+        s->pipelined.pop_front();
+        s->pipelinedBytes -= bytes.size();
+        pipelinedBytes_ -= bytes.size();
         s->arrivedAt = s->state.lastByteAt = at;
         parse(s, bytes);
     }
-    if (s->flooded && s->ahead.empty() && s->state.phase != Phase::Open && s->state.phase != Phase::Leaving &&
-        s->connection->open())
-        error(s, 400, "too much behind an open request", CloseReason::Flood);
+    if (s->flooded && s->pipelined.empty() && s->state.phase != Phase::Open &&
+        s->state.phase != Phase::Closing && s->connection->open())
+        sendError(s, 400, "too much behind an open request", CloseReason::Flood);
 }
 
-void Server::answer(const SessionPtr& s, int status, wire::http::Fields fields, const std::string& body,
-                    bool last, CloseReason reason) {
-    // What has come behind it is answered too, before the connection ends by this scheduler's wish.
-    const bool more = !s->ahead.empty() || s->connection->readable();
-    last = last || ((draining_ || room() == Room::None) && !more);
+void Server::sendAnswer(const SessionPtr& s, int status, wire::http::Fields fields, const std::string& body,
+                        bool last, CloseReason reason) {
+    // A connection that this side wants to close is kept while further requests are waiting on it.
+    const bool more = !s->pipelined.empty() || s->connection->readable();
+    last = last || ((draining_ || capacity() == Capacity::Exhausted) && !more);
     if (last) fields.emplace_back("Connection", "close");
     s->connection->write(wire::http::writeResponse(status, fields, body.size()) + body);
     s->connection->flush();
     s->parser.reset();
     s->body.clear();
     s->decoded = {};
-    if (last) leave(s, reason);
-    else enter(*s, Phase::Idle);
+    if (last) shutDown(s, reason);
+    else enterPhase(*s, Phase::Idle);
 }
 
-void Server::error(const SessionPtr& s, int status, const std::string& words, CloseReason reason) {
+void Server::sendError(const SessionPtr& s, int status, const std::string& message, CloseReason reason) {
     ++counts_.errors;
     s->failed = true;
-    answer(s, status, {{"Content-Type", "text/plain"}}, words + "\n", true, reason);
+    sendAnswer(s, status, {{"Content-Type", "text/plain"}}, message + "\n", true, reason);
 }
 
-// An orderly end (RFC 9112, 9.6): the write side is shut after what is queued, and the connection closed once
-// the other side has ended too or decide() says so; a close over unread bytes at once would be a reset, and
-// could overtake the answer. A request that crosses the end is not read: then its client may send it again.
-// What still comes of one that can't be read is dropped.
-void Server::leave(const SessionPtr& s, CloseReason reason) {
+// Closes in stages (RFC 9112, section 9.6): shuts down the write side once the queue is sent, and closes the
+// connection when the peer has ended too or decide() says so. Closing at once with unread bytes would send a
+// reset, which could overtake the answer. A request that crosses the close is not read, so that its client
+// may send it again. After an error response, what still arrives is read and discarded.
+void Server::shutDown(const SessionPtr& s, CloseReason reason) {
     if (!s->reason) s->reason = reason;
-    enter(*s, Phase::Leaving);
-    forgetAhead(*s);
+    enterPhase(*s, Phase::Closing);
+    dropPipelined(*s);
     if (s->failed) s->connection->resumeReading();
     else s->connection->pauseReading();
     s->connection->shutdownWrite();
 }
 
-// The invariant of closing: this side ends no connection over a request that it has read and not answered.
+// Checks an invariant: this side never closes a connection on which it has read a request without answering.
 void Server::checkClose(const Session& s) {
     using invariants::Violation;
-    host_.monitor().check(s.hostId.empty(), Violation::CloseOverOpenRequest, s.decoded.id);
+    host_.monitor().check(s.hostRequestId.empty(), Violation::CloseOverOpenRequest, s.decoded.id);
     host_.monitor().check(s.failed || s.dropped == 0, Violation::CloseOverReadRequest, s.decoded.id);
 }
 
@@ -317,12 +325,12 @@
     const auto reason = s->reason.value_or(CloseReason::ByClient);
     ++counts_.closes[static_cast<std::size_t>(reason)];
     if (s->reason) checkClose(*s);
-    if (note_) note_(reason, s->hostId.empty() ? std::string() : s->decoded.id);
-    if (!s->hostId.empty()) {
-        openIds_.erase(s->decoded.id);
-        host_.abandon(std::exchange(s->hostId, {}));
+    if (onClose_) onClose_(reason, s->hostRequestId.empty() ? std::string() : s->decoded.id);
+    if (!s->hostRequestId.empty()) {
+        openRequestIds_.erase(s->decoded.id);
+        host_.abandon(std::exchange(s->hostRequestId, {}));
     }
-    forgetAhead(*s);
+    dropPipelined(*s);
     sessions_.erase(s->number);
     listener_->resume();
 }
--- a/src/io/byte_stream.hpp
+++ b/src/io/byte_stream.hpp
@@ -1,5 +1,5 @@
-// What a session needs of its connection: a counted queue out, reading that can be held back. A connection is
-// one; a model that drives a session without sockets is another.
+// The part of a connection that a session needs: a bounded write queue and flow control for reading.
+// Implemented by Connection, and by in-memory models in tests that drive a session without sockets.
 #pragma once
 
 #include <string>
@@ -9,8 +9,8 @@
 class ByteStream {
   public:
     virtual ~ByteStream() = default;
-    // Queues all of it; never blocks. Callers look at backlogged() before they make more, and are told once
-    // the queue has drained.
+    // Queues all of `bytes` and never blocks. Callers check backlogged() before they produce more and are
+    // notified when the queue has drained.
     virtual void write(std::string bytes) = 0;
     virtual bool backlogged() const = 0;
     virtual void pauseReading() = 0;
--- a/src/io/connection.cpp
+++ b/src/io/connection.cpp
@@ -10,11 +10,11 @@
 namespace spokewheel::io {
 namespace {
 
-constexpr std::size_t kReadChunk = 256 * 1024, kJoined = 16 * 1024;
-constexpr double kAcceptAgainMs = 20;
-constexpr int kAcceptFailures = 4;  // in a row, after which a cause is taken to last
-constexpr int kReadsAtOnce = 4;     // of one connection, so that one that sends without end holds nothing up
-constexpr int kAcceptsAtOnce = 32;  // of one turn of the loop, so that a flood leaves room for others
+constexpr std::size_t kReadChunkBytes = 256 * 1024, kMaxCoalescedBytes = 16 * 1024;
+constexpr double kAcceptRetryMs = 20;
+constexpr int kMaxAcceptFailures = 4;  // in a row; beyond this the cause is assumed to persist
+constexpr int kMaxReadsPerCall = 4;    // of one connection, so that an endless sender does not block the loop
+constexpr int kMaxEventsPerTurn = 32;  // accepts or datagrams per loop iteration, so that other sources run
 
 struct ErrorHolder {
     GError* e = nullptr;
@@ -25,8 +25,9 @@
     }
 };
 
-GSocketAddress* socketAddress(const Address& a) {
-    return g_inet_socket_address_new_from_string(a.host.c_str(), static_cast<guint>(a.port));
+// Owned by the caller; nullptr if the host is not a numeric address.
+GSocketAddress* socketAddress(const Address& address) {
+    return g_inet_socket_address_new_from_string(address.host.c_str(), static_cast<guint>(address.port));
 }
 
 Address addressOf(GInetSocketAddress* address) {
@@ -36,19 +37,22 @@
     return out;
 }
 
-GSocket* bound(const Address& at, GSocketType type, GSocketProtocol protocol) {
+// A non-blocking socket bound to `endpoint`, listening if it is a stream socket. Owned by the caller. Throws
+// ListenError.
+GSocket* createBoundSocket(const Address& endpoint, GSocketType type, GSocketProtocol protocol) {
     ErrorHolder error;
-    const auto family = at.host.find(':') == std::string::npos ? G_SOCKET_FAMILY_IPV4 : G_SOCKET_FAMILY_IPV6;
+    const auto family =
+        endpoint.host.find(':') == std::string::npos ? G_SOCKET_FAMILY_IPV4 : G_SOCKET_FAMILY_IPV6;
     GSocket* s = g_socket_new(family, type, protocol, &error.e);
-    GSocketAddress* address = socketAddress(at);
-    const bool fine = s && address && g_socket_bind(s, address, TRUE, &error.e) &&
-                      (type != G_SOCKET_TYPE_STREAM || (g_socket_set_listen_backlog(s, 512), true)) &&
-                      (type != G_SOCKET_TYPE_STREAM || g_socket_listen(s, &error.e));
+    GSocketAddress* address = socketAddress(endpoint);
+    const bool listening = s && address && g_socket_bind(s, address, TRUE, &error.e) &&
+                           (type != G_SOCKET_TYPE_STREAM || (g_socket_set_listen_backlog(s, 512), true)) &&
+                           (type != G_SOCKET_TYPE_STREAM || g_socket_listen(s, &error.e));
     if (address) g_object_unref(address);
-    if (!fine) {
-        const std::string words = error.e ? error.e->message : "no such address";
+    if (!listening) {
+        const std::string reason = error.e ? error.e->message : "no such address";
         if (s) g_object_unref(s);
-        throw ListenError("cannot listen on " + at.text() + ": " + words);
+        throw ListenError("cannot listen on " + endpoint.text() + ": " + reason);
     }
     g_socket_set_blocking(s, FALSE);
     return s;
@@ -58,35 +62,36 @@
 
 namespace {
 
-// The address in `text`, to be let go of; nullptr where it has none.
-GInetAddress* numeric(const std::string& text, Address& a, bool anyPort) {
+// Parses a numeric host and port. Returns the inet address, owned by the caller, or nullptr if invalid.
+GInetAddress* parseHostAndPort(const std::string& text, Address& out, bool anyPort) {
     const auto colon = text.rfind(':');
     if (colon == std::string::npos) return nullptr;
-    a = {text.substr(0, colon), 0};
-    if (a.host.size() > 2 && a.host.front() == '[' && a.host.back() == ']')
-        a.host = a.host.substr(1, a.host.size() - 2);
+    out = {text.substr(0, colon), 0};
+    if (out.host.size() > 2 && out.host.front() == '[' && out.host.back() == ']')
+        out.host = out.host.substr(1, out.host.size() - 2);
     const char *first = text.data() + colon + 1, *last = text.data() + text.size();
-    const auto [end, error] = std::from_chars(first, last, a.port);
-    if (error != std::errc() || end != last || a.port < (anyPort ? 0 : 1) || a.port > 65535) return nullptr;
-    return g_inet_address_new_from_string(a.host.c_str());
+    const auto [end, error] = std::from_chars(first, last, out.port);
+    if (error != std::errc() || end != last || out.port < (anyPort ? 0 : 1) || out.port > 65535)
+        return nullptr;
+    return g_inet_address_new_from_string(out.host.c_str());
 }
 
 }  // namespace
 
 bool parseAddress(const std::string& text, Address& out, bool anyPort) {
-    Address a;
-    GInetAddress* inet = numeric(text, a, anyPort);
+    Address parsed;
+    GInetAddress* inet = parseHostAndPort(text, parsed, anyPort);
     const bool loopback = inet && g_inet_address_get_is_loopback(inet);
     if (inet) g_object_unref(inet);
-    if (loopback) out = a;
+    if (loopback) out = parsed;
     return loopback;
 }
 bool parseNumericAddress(const std::string& text, Address& out) {
-    Address a;
-    GInetAddress* inet = numeric(text, a, false);
+    Address parsed;
+    GInetAddress* inet = parseHostAndPort(text, parsed, false);
     if (!inet) return false;
     g_object_unref(inet);
-    out = a;
+    out = parsed;
     return true;
 }
 
@@ -101,64 +106,64 @@
     g_socket_set_option(s, 6 /* IPPROTO_TCP */, 1 /* TCP_NODELAY */, 1, nullptr);
     GSocketAddress* address = socketAddress(to);
     if (!address || (!g_socket_connect(s, address, nullptr, &error.e) && !error.wouldBlock())) {
-        // A refusal is the other machine's word; all else that is known at once is of this one.
+        // A refused connection is the remote host's answer; any other immediate error is local.
         c->failedLocally_ = address && !g_error_matches(error.e, G_IO_ERROR, G_IO_ERROR_CONNECTION_REFUSED);
         g_object_unref(s);
         c->socket_ = nullptr;
     }
     if (address) g_object_unref(address);
     c->connecting_ = true;
-    // The outcome comes from the loop, never from within dial().
-    if (c->open()) c->watchOut();
+    // The result is reported from the loop, never from within dial().
+    if (c->open()) c->watchWritable();
     return c;
 }
 
 std::shared_ptr<Connection> Connection::adopt(GSocket* socket, double waitingSinceMs) {
     std::shared_ptr<Connection> c(new Connection(socket));
-    c->timesArrivals_ = true;
+    c->tracksArrivals_ = true;
     c->arrivedNotBeforeMs_ = waitingSinceMs;
-    c->moreWaits_ = c->readable();
+    c->moreUnread_ = c->readable();
     g_socket_set_blocking(socket, FALSE);
     g_socket_set_option(socket, 6, 1, 1, nullptr);
-    c->watch();
+    c->watchReadable();
     return c;
 }
 
 Connection::~Connection() { close(); }
 
-void Connection::watch() {
-    if (paused_ || connecting_ || !socket_ || in_) return;
+void Connection::watchReadable() {
+    if (paused_ || connecting_ || !socket_ || readSource_) return;
     GSource* source = g_socket_create_source(socket_, G_IO_IN, nullptr);
     g_source_set_callback(source, G_SOURCE_FUNC(+[](GSocket*, GIOCondition condition, gpointer self) {
                               const auto keep = static_cast<Connection*>(self)->shared_from_this();
-                              return keep->onReady(condition) ? TRUE : FALSE;
+                              return keep->onReadable(condition) ? TRUE : FALSE;
                           }),
                           this, nullptr);
-    in_ = Source(g_source_attach(source, nullptr));
+    readSource_ = EventSource(g_source_attach(source, nullptr));
     g_source_unref(source);
 }
 
-void Connection::watchOut() {
-    if (!socket_ || out_) return;
+void Connection::watchWritable() {
+    if (!socket_ || writeSource_) return;
     GSource* source = g_socket_create_source(socket_, G_IO_OUT, nullptr);
     g_source_set_callback(source, G_SOURCE_FUNC(+[](GSocket*, GIOCondition, gpointer self) {
                               const auto keep = static_cast<Connection*>(self)->shared_from_this();
                               return keep->onWritable() ? TRUE : FALSE;
                           }),
                           this, nullptr);
-    out_ = Source(g_source_attach(source, nullptr));
+    writeSource_ = EventSource(g_source_attach(source, nullptr));
     g_source_unref(source);
 }
 
-bool Connection::onReady(GIOCondition) {
-    static thread_local char buffer[kReadChunk];
+bool Connection::onReadable(GIOCondition) {
+    static thread_local char buffer[kReadChunkBytes];
     ErrorHolder error;
-    if (!moreWaits_) arrivedNotBeforeMs_ = earliestArrivalMs();
+    if (!moreUnread_) arrivedNotBeforeMs_ = earliestArrivalMs();
     const gssize n = g_socket_receive(socket_, buffer, sizeof buffer, nullptr, &error.e);
     if (n > 0) {
-        moreWaits_ = timesArrivals_ && readable();
+        moreUnread_ = tracksArrivals_ && readable();
         if (handler_.data) handler_.data({buffer, static_cast<std::size_t>(n)});
-        return static_cast<bool>(in_);
+        return static_cast<bool>(readSource_);
     }
     if (n < 0 && error.wouldBlock()) return true;
     fail(n == 0 ? DisconnectReason::ByPeer : DisconnectReason::Reset);
@@ -167,12 +172,12 @@
 
 double Connection::arrivedAtMs() const {
     const double now = nowMs();
-    return now - arrivedNotBeforeMs_ <= kOrdinaryWaitMs ? now : arrivedNotBeforeMs_;
+    return now - arrivedNotBeforeMs_ <= kArrivalToleranceMs ? now : arrivedNotBeforeMs_;
 }
 
 void Connection::readPending() {
     const auto keep = shared_from_this();
-    for (int i = 0; i < kReadsAtOnce && in_ && readable(); ++i) onReady(G_IO_IN);
+    for (int i = 0; i < kMaxReadsPerCall && readSource_ && readable(); ++i) onReadable(G_IO_IN);
 }
 
 bool Connection::onWritable() {
@@ -183,30 +188,30 @@
             return false;
         }
         connecting_ = false;
-        watch();
+        watchReadable();
         if (handler_.connected) handler_.connected();
         if (!socket_) return false;
     }
-    const bool was = queued_ >= kHighWater / 2;
-    if (!sendSome(&error.e)) {
+    const bool wasOverHalf = queued_ >= kHighWaterBytes / 2;
+    if (!sendQueued(&error.e)) {
         if (error.wouldBlock()) {
-            if (was && queued_ < kHighWater / 2 && handler_.drained) handler_.drained();
-            return static_cast<bool>(out_);
+            if (wasOverHalf && queued_ < kHighWaterBytes / 2 && handler_.drained) handler_.drained();
+            return static_cast<bool>(writeSource_);
         }
         fail(DisconnectReason::Reset);
         return false;
     }
-    if (was && handler_.drained) {
+    if (wasOverHalf && handler_.drained) {
         handler_.drained();
-        if (!socket_ || !queue_.empty()) return static_cast<bool>(out_);
+        if (!socket_ || !queue_.empty()) return static_cast<bool>(writeSource_);
     }
-    out_.reset();
-    if (finish_) g_socket_shutdown(socket_, FALSE, TRUE, nullptr);
+    writeSource_.reset();
+    if (shutdownPending_) g_socket_shutdown(socket_, FALSE, TRUE, nullptr);
     return false;
 }
 
-// False where the kernel takes no more, or with an error.
-bool Connection::sendSome(GError** error) {
+// False if the kernel accepts no more for now or the send fails; `error` tells which.
+bool Connection::sendQueued(GError** error) {
     while (!queue_.empty()) {
         auto& front = queue_.front();
         const gssize n =
@@ -223,28 +228,29 @@
 void Connection::flush() {
     if (!socket_ || connecting_) return;
     ErrorHolder error;
-    if (!sendSome(&error.e)) return;
-    out_.reset();
-    if (finish_) g_socket_shutdown(socket_, FALSE, TRUE, nullptr);
+    if (!sendQueued(&error.e)) return;
+    writeSource_.reset();
+    if (shutdownPending_) g_socket_shutdown(socket_, FALSE, TRUE, nullptr);
 }
 
 void Connection::write(std::string bytes) {
     if (!socket_ || bytes.empty()) return;
     queued_ += bytes.size();
-    // Small pieces are joined, so that a queue of many frames costs few calls.
-    if (!queue_.empty() && bytes.size() <= kJoined && queue_.back().size() + bytes.size() <= kReadChunk)
+    // Small writes are coalesced, so that a queue of many frames costs few system calls.
+    if (!queue_.empty() && bytes.size() <= kMaxCoalescedBytes &&
+        queue_.back().size() + bytes.size() <= kReadChunkBytes)
         queue_.back() += bytes;
     else queue_.push_back(std::move(bytes));
-    watchOut();
+    watchWritable();
 }
 
 void Connection::pauseReading() {
     paused_ = true;
-    in_.reset();
+    readSource_.reset();
 }
 void Connection::resumeReading() {
     paused_ = false;
-    watch();
+    watchReadable();
 }
 bool Connection::readable() const {
     return !socket_ || (g_socket_condition_check(socket_, GIOCondition(G_IO_IN | G_IO_HUP | G_IO_ERR)) != 0);
@@ -262,12 +268,12 @@
     return out;
 }
 void Connection::shutdownWrite() {
-    finish_ = true;
+    shutdownPending_ = true;
     if (socket_ && queue_.empty()) g_socket_shutdown(socket_, FALSE, TRUE, nullptr);
 }
 void Connection::close() {
-    in_.reset();
-    out_.reset();
+    readSource_.reset();
+    writeSource_.reset();
     if (socket_) {
         g_socket_close(socket_, nullptr);
         g_object_unref(socket_);
@@ -278,25 +284,25 @@
     queued_ = 0;
 }
 void Connection::reset() {
-    const linger none{1, 0};
-    if (socket_) setsockopt(g_socket_get_fd(socket_), SOL_SOCKET, SO_LINGER, &none, sizeof none);
+    const linger abort{1, 0};
+    if (socket_) setsockopt(g_socket_get_fd(socket_), SOL_SOCKET, SO_LINGER, &abort, sizeof abort);
     close();
 }
-void Connection::fail(DisconnectReason why) {
+void Connection::fail(DisconnectReason reason) {
     const auto keep = shared_from_this();
     close();
     if (handler_.closed) {
         const auto closed = std::move(handler_.closed);
         handler_.closed = nullptr;
-        closed(why);
+        closed(reason);
     }
 }
 
-Listener::Listener(const Address& at, std::function<void(std::shared_ptr<Connection>)> accepted)
-    : accepted_(std::move(accepted)) {
-    socket_ = bound(at, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP);
+Listener::Listener(const Address& address, std::function<void(std::shared_ptr<Connection>)> onAccepted)
+    : onAccepted_(std::move(onAccepted)) {
+    socket_ = createBoundSocket(address, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP);
     GSocketAddress* local = g_socket_get_local_address(socket_, nullptr);
-    port_ = local ? g_inet_socket_address_get_port(G_INET_SOCKET_ADDRESS(local)) : at.port;
+    port_ = local ? g_inet_socket_address_get_port(G_INET_SOCKET_ADDRESS(local)) : address.port;
     if (local) g_object_unref(local);
     watch();
 }
@@ -304,61 +310,61 @@
     if (!socket_ || source_) return;
     GSource* source = g_socket_create_source(socket_, G_IO_IN, nullptr);
     g_source_set_callback(source, G_SOURCE_FUNC(+[](GSocket*, GIOCondition, gpointer self) -> gboolean {
-                              return static_cast<Listener*>(self)->onReady() ? TRUE : FALSE;
+                              return static_cast<Listener*>(self)->onReadable() ? TRUE : FALSE;
                           }),
                           this, nullptr);
-    source_ = Source(g_source_attach(source, nullptr));
+    source_ = EventSource(g_source_attach(source, nullptr));
     g_source_unref(source);
 }
-bool Listener::onReady() {
-    if (!othersWait_) waitingSinceMs_ = earliestArrivalMs();
-    othersWait_ = true;
+bool Listener::onReadable() {
+    if (!moreWaiting_) waitingSinceMs_ = earliestArrivalMs();
+    moreWaiting_ = true;
     return acceptSome();
 }
 bool Listener::acceptSome() {
     int failures = 0;
-    for (int i = 0; i < kAcceptsAtOnce; ++i) {
+    for (int i = 0; i < kMaxEventsPerTurn; ++i) {
         ErrorHolder error;
-        GSocket* taken = g_socket_accept(socket_, nullptr, &error.e);
-        if (!taken) {
+        GSocket* accepted = g_socket_accept(socket_, nullptr, &error.e);
+        if (!accepted) {
             if (error.wouldBlock() || !error.e) {
-                othersWait_ = false;
+                moreWaiting_ = false;
                 return true;
             }
-            if (++failures < kAcceptFailures) continue;
-            // Out of descriptors, say: who waits stays in the queue, so the socket stays readable, and
-            // without a rest the loop would turn for nothing.
+            if (++failures < kMaxAcceptFailures) continue;
+            // For example out of descriptors: the connections stay in the backlog and the socket stays
+            // readable, so without a pause the loop would spin.
             pause();
-            again_.arm(kAcceptAgainMs, [this] { resume(); });
+            retryTimer_.arm(kAcceptRetryMs, [this] { resume(); });
             return false;
         }
         failures = 0;
-        accepted_(Connection::adopt(taken, waitingSinceMs_));
+        onAccepted_(Connection::adopt(accepted, waitingSinceMs_));
         if (!source_) return false;
     }
     return true;
 }
 void Listener::pause() {
     source_.reset();
-    othersWait_ = true;
-    observeQueue();
+    moreWaiting_ = true;
+    observeBacklog();
 }
-void Listener::observeQueue() {
-    if (!source_ && !pending()) waitingSinceMs_ = nowMs();
+void Listener::observeBacklog() {
+    if (!source_ && !hasPending()) waitingSinceMs_ = nowMs();
 }
 void Listener::resume() {
-    again_.cancel();
+    retryTimer_.cancel();
     watch();
 }
-bool Listener::pending() const { return socket_ && g_socket_condition_check(socket_, G_IO_IN) != 0; }
-void Listener::finish() {
-    while (source_ && pending())
-        if (!onReady()) return;
-    if (!pending()) stop();
+bool Listener::hasPending() const { return socket_ && g_socket_condition_check(socket_, G_IO_IN) != 0; }
+void Listener::acceptPendingThenStop() {
+    while (source_ && hasPending())
+        if (!onReadable()) return;
+    if (!hasPending()) stop();
 }
 Listener::~Listener() { stop(); }
 void Listener::stop() {
-    again_.cancel();
+    retryTimer_.cancel();
     source_.reset();
     if (!socket_) return;
     g_socket_close(socket_, nullptr);
@@ -366,13 +372,14 @@
     socket_ = nullptr;
 }
 
-DatagramSocket::DatagramSocket(const Address& at, Received received) : received_(std::move(received)) {
-    socket_ = bound(at, G_SOCKET_TYPE_DATAGRAM, G_SOCKET_PROTOCOL_UDP);
+DatagramSocket::DatagramSocket(const Address& address, Received onReceived)
+    : onReceived_(std::move(onReceived)) {
+    socket_ = createBoundSocket(address, G_SOCKET_TYPE_DATAGRAM, G_SOCKET_PROTOCOL_UDP);
     GSource* source = g_socket_create_source(socket_, G_IO_IN, nullptr);
     g_source_set_callback(
         source, G_SOURCE_FUNC(+[](GSocket* s, GIOCondition, gpointer self) -> gboolean {
             char buffer[2048];
-            for (int i = 0; i < kAcceptsAtOnce; ++i) {
+            for (int i = 0; i < kMaxEventsPerTurn; ++i) {
                 GSocketAddress* sender = nullptr;
                 const gssize n = g_socket_receive_from(s, &sender, buffer, sizeof buffer, nullptr, nullptr);
                 Address from;
@@ -380,12 +387,12 @@
                     from = addressOf(G_INET_SOCKET_ADDRESS(sender));
                 if (sender) g_object_unref(sender);
                 if (n < 0) break;
-                static_cast<DatagramSocket*>(self)->received_(from, {buffer, static_cast<std::size_t>(n)});
+                static_cast<DatagramSocket*>(self)->onReceived_(from, {buffer, static_cast<std::size_t>(n)});
             }
             return TRUE;
         }),
         this, nullptr);
-    source_ = Source(g_source_attach(source, nullptr));
+    source_ = EventSource(g_source_attach(source, nullptr));
     g_source_unref(source);
 }
 DatagramSocket::~DatagramSocket() {
--- a/src/io/connection.hpp
+++ b/src/io/connection.hpp
@@ -1,4 +1,5 @@
-// A TCP connection on the main loop with a bounded read, a counted write queue and back-pressure both ways.
+// TCP connections, listeners and UDP sockets on the event loop. A connection reads a bounded amount at a
+// time, counts its write queue and applies back-pressure in both directions.
 #pragma once
 
 #include <gio/gio.h>
@@ -21,11 +22,11 @@
     int port = 0;
     std::string text() const { return host + ":" + std::to_string(port); }
 };
-// "127.0.0.1:8080"; false where it is not a loopback address with a port between 1 (or 0, where `anyPort`)
-// and 65535. Loopback only: the program neither listens nor connects elsewhere.
+// Parses "127.0.0.1:8080". False, with `out` unchanged, unless it is a loopback address with a port from 1 to
+// 65535; `anyPort` also allows port 0. Loopback only: the gateway neither listens nor connects elsewhere.
 bool parseAddress(const std::string& text, Address& out, bool anyPort = false);
-// The same for any numeric address. For the platform, whose configuration names addresses of its own network;
-// nothing that comes from a client may be given to it.
+// The same for any numeric address. For the platform, whose configuration names addresses in its own network;
+// must not be used on input from clients.
 bool parseNumericAddress(const std::string& text, Address& out);
 
 enum class DisconnectReason { ByPeer, Reset, ConnectFailed };
@@ -35,124 +36,135 @@
     struct Handler {
         std::function<void()> connected;
         std::function<void(std::string_view)> data;    // at most 256 KiB at a time
-        std::function<void()> drained;                 // the write queue fell under half of its mark
-        std::function<void(DisconnectReason)> closed;  // once, not after close()
+        std::function<void()> drained;                 // the write queue fell below half of kHighWaterBytes
+        std::function<void(DisconnectReason)> closed;  // at most once, never after close()
     };
-    static constexpr std::size_t kHighWater = 256 * 1024;
+    static constexpr std::size_t kHighWaterBytes = 256 * 1024;
 
+    // Starts to connect. The result comes through the handler's `connected` or `closed`, from the loop; if
+    // the attempt failed at once, open() is false and no callback follows.
     static std::shared_ptr<Connection> dial(const Address& to);
-    // Takes the reference. What waits to be read already came no earlier than `waitingSinceMs`.
+    // Wraps an accepted socket and takes over the caller's reference. Data that is already waiting in it
+    // arrived at `waitingSinceMs` (on nowMs()) at the earliest.
     static std::shared_ptr<Connection> adopt(GSocket* socket, double waitingSinceMs);
     ~Connection() override;
     Connection(const Connection&) = delete;
     Connection& operator=(const Connection&) = delete;
 
     void setHandler(Handler handler) { handler_ = std::move(handler); }
-    // Queues all of it; callers look at backlogged() and wait for drained before they make more.
+    // Queues all of it; callers check backlogged() and wait for `drained` before they produce more.
     void write(std::string bytes) override;
-    // Gives the kernel now what it takes of the queue, where the rest would wait for the loop. No callback
-    // comes from within, `drained` neither; an error is found again, and told, by the loop.
+    // Sends as much of the queue as the kernel accepts now instead of waiting for the loop. Runs no callback,
+    // not even `drained`; the loop meets a send error again and reports it then.
     void flush();
-    bool backlogged() const override { return queued_ >= kHighWater; }
+    bool backlogged() const override { return queued_ >= kHighWaterBytes; }
     std::size_t queued() const { return queued_; }
-    // It ended, or was closed, while some of what was written was still in the queue.
+    // Whether the connection ended, or was closed, with written bytes still in the queue.
     bool droppedUnsentBytes() const { return droppedUnsentBytes_; }
-    // Address of the other side without its port; empty where it is gone.
+    // The peer's address without its port; empty once the connection is gone.
     std::string remoteHost() const;
-    // Bytes of the queue that the kernel has taken since the start.
+    // Bytes that the kernel has accepted since the connection was made.
     std::uint64_t bytesSent() const { return bytesSent_; }
     void pauseReading() override;
     void resumeReading() override;
-    // Hands over now what waits to be read, an end included; not from within a callback of this connection.
+    // Reads what is waiting, an end of stream included, and runs the callbacks before it returns. Must not be
+    // called from a callback of this connection.
     void readPending();
-    // In `data`, of an adopted connection: when the bytes came, on nowMs(). Now, unless the process was held
-    // up: then the earliest moment at which they can have come.
+    // During `data` on an accepted connection: when the bytes arrived, on nowMs(). The current time, unless
+    // the process was delayed; then the earliest time at which they can have arrived.
     double arrivedAtMs() const;
-    bool readable() const;  // bytes or an end wait unread (used to find a kept connection that has ended)
-    bool hungUp() const;    // both sides have ended, or it broke; what came may still be unread
-    void shutdownWrite();   // after what is queued has gone out
-    void close();           // at once; what is queued is dropped, no callback follows
-    void reset();           // the same, and the other side sees a reset (SO_LINGER of 0)
+    // Unread bytes or an end of stream are waiting. Also finds idle connections that the peer has closed.
+    bool readable() const;
+    bool hungUp() const;   // both directions have ended, or an error occurred; unread data may remain
+    void shutdownWrite();  // once the queue has been sent
+    void close();          // at once: drops the queue, no callback follows
+    void reset();          // like close(), but sends a TCP RST (SO_LINGER of 0)
     bool open() const { return socket_ != nullptr; }
-    // After dial(): it failed at once for a reason of this machine (no descriptor, port, buffer or route).
+    // After dial(): it failed at once for a local reason (no descriptor, port, buffer space or route).
     bool failedLocally() const { return failedLocally_; }
 
   private:
     explicit Connection(GSocket* socket) : socket_(socket) {}
-    void watch();
-    void watchOut();
-    bool onReady(GIOCondition condition);
+    void watchReadable();
+    void watchWritable();
+    bool onReadable(GIOCondition condition);
     bool onWritable();
-    bool sendSome(GError** error);
-    void fail(DisconnectReason why);
+    bool sendQueued(GError** error);
+    void fail(DisconnectReason reason);
 
     GSocket* socket_;
     Handler handler_;
-    Source in_, out_;
+    EventSource readSource_, writeSource_;
     std::deque<std::string> queue_;
-    std::size_t queued_ = 0, offset_ = 0;
+    std::size_t queued_ = 0, offset_ = 0;  // bytes in the queue; bytes of its front that have been sent
     std::uint64_t bytesSent_ = 0;
-    // Of what is read now: it came no earlier. More of the same may wait in the socket.
+    // Earliest possible arrival of the data being read. Holds for as long as data from the same poll remains
+    // unread in the socket (moreUnread_).
     double arrivedNotBeforeMs_ = 0;
-    bool timesArrivals_ = false, moreWaits_ = false;
-    bool connecting_ = false, paused_ = false, finish_ = false, failedLocally_ = false,
+    bool tracksArrivals_ = false, moreUnread_ = false;
+    bool connecting_ = false, paused_ = false, shutdownPending_ = false, failedLocally_ = false,
          droppedUnsentBytes_ = false;
 };
 
-// A listening socket can't be had: the address and the system's words.
+// A socket could not be bound or put into listening state: the address and the system's error message.
 class ListenError : public std::runtime_error {
   public:
     using std::runtime_error::runtime_error;
 };
 
-// Listens on loopback; each accepted connection goes to `accepted`.
+// A listening TCP socket. Each accepted connection is passed to `onAccepted`.
 class Listener {
   public:
     // Throws ListenError.
-    Listener(const Address& at, std::function<void(std::shared_ptr<Connection>)> accepted);
+    Listener(const Address& address, std::function<void(std::shared_ptr<Connection>)> onAccepted);
     ~Listener();
     Listener(const Listener&) = delete;
     Listener& operator=(const Listener&) = delete;
     int port() const { return port_; }
+    // Closes the listening socket; connections that were not accepted are refused.
     void stop();
-    // What asks to connect waits in the system's queue meanwhile.
+    // Stops accepting. New connections wait in the kernel's backlog until resume().
     void pause();
     void resume();
-    bool pending() const;  // somebody waits to be taken
-    // Takes who waits, then stops. Who can't be taken now keeps waiting: to be called again then.
-    void finish();
-    // To be called now and then while paused: who finds the queue empty knows that nobody has waited so far.
-    void observeQueue();
+    bool hasPending() const;  // connections wait to be accepted
+    // Accepts the waiting connections, then stops. Keeps listening if some can't be accepted now; the caller
+    // then has to call again later.
+    void acceptPendingThenStop();
+    // To be called regularly while paused. An empty backlog shows that connections accepted later have not
+    // been waiting since before this call.
+    void observeBacklog();
 
   private:
     void watch();
-    bool onReady();  // false where it is paused or stopped by it
-    bool acceptSome();
+    bool onReadable();  // false if this paused or stopped the listener
+    bool acceptSome();  // likewise
 
     GSocket* socket_ = nullptr;
     int port_ = 0;
-    // Who is taken now has waited no longer; and whether others may have waited as long.
+    // Connections accepted now were made at this time at the earliest. Holds for as long as connections from
+    // the same poll may remain in the backlog (moreWaiting_).
     double waitingSinceMs_ = nowMs();
-    bool othersWait_ = false;
-    Source source_;
-    Timer again_;
-    std::function<void(std::shared_ptr<Connection>)> accepted_;
+    bool moreWaiting_ = false;
+    EventSource source_;
+    Timer retryTimer_;
+    std::function<void(std::shared_ptr<Connection>)> onAccepted_;
 };
 
-// UDP on loopback.
+// A bound UDP socket.
 class DatagramSocket {
   public:
     using Received = std::function<void(const Address& from, std::string_view bytes)>;
-    DatagramSocket(const Address& at, Received received);
+    // Throws ListenError.
+    DatagramSocket(const Address& address, Received onReceived);
     ~DatagramSocket();
     DatagramSocket(const DatagramSocket&) = delete;
     DatagramSocket& operator=(const DatagramSocket&) = delete;
-    void send(const Address& to, std::string_view bytes);  // lost where the kernel has no room
+    void send(const Address& to, std::string_view bytes);  // dropped if the kernel has no buffer space
 
   private:
     GSocket* socket_ = nullptr;
-    Source source_;
-    Received received_;
+    EventSource source_;
+    Received onReceived_;
 };
 
 }  // namespace spokewheel::io
--- a/src/io/loop.hpp
+++ b/src/io/loop.hpp
@@ -1,4 +1,4 @@
-// The main loop of one process: GLib's, with RAII timers. One thread; nothing here blocks but run().
+// The event loop of a process: GLib's main loop, with RAII timers. Single-threaded; only run() blocks.
 #pragma once
 
 #include <glib.h>
@@ -7,60 +7,63 @@
 
 namespace spokewheel::io {
 
-// Milliseconds since the epoch, read once at start and carried on by CLOCK_MONOTONIC, so that it never goes
-// back. Hosts on one machine agree to about a millisecond; hosts apart need their clocks set
-// (docs/operators.md).
+// Milliseconds since the epoch. The wall clock is read once at start-up and advanced by CLOCK_MONOTONIC, so
+// the value never goes back. Processes on one machine agree to about a millisecond; hosts on different
+// machines need synchronised clocks (docs/operators.md).
 double nowMs();
-// Milliseconds since the epoch by the wall clock of this moment, which may be stepped: for what other
-// machines say in its terms, never for a span of time.
+// Milliseconds since the epoch by the current wall clock, which may be stepped. Only for comparison with
+// wall-clock times from other machines, never to measure durations.
 double wallMs();
 
-// The process may be held up between the system's word that a socket can be read and the reading, and what
-// comes during a hold-up is found by the next look only. At the latest look but one the loop was told nothing
-// of what it is told now: that came no earlier than this (on nowMs()).
+// Lower bound, on nowMs(), of the arrival time of anything that the current poll reports as readable: the
+// time of the poll before the latest one, which did not report it yet. The process may be descheduled between
+// a poll and the read, and data that arrives meanwhile is only seen by the next poll.
 double earliestArrivalMs();
-// What was read counts as having come just now where it waited no longer than the loop's own grain.
-constexpr double kOrdinaryWaitMs = 25;
+// Data that may have waited no longer than this counts as having arrived now: a little over the longest
+// single poll.
+constexpr double kArrivalToleranceMs = 25;
 
-// Owns one GLib source. Destroying or resetting it takes the source off the loop, also from its own callback.
-class Source {
+// Owns one GLib source. Destroying or resetting it removes the source from the loop; this may happen from
+// the source's own callback.
+class EventSource {
   public:
-    Source() = default;
-    explicit Source(guint id) : id_(id) {}
-    ~Source() { reset(); }
-    Source(Source&& o) noexcept : id_(o.id_) { o.id_ = 0; }
-    Source& operator=(Source&& o) noexcept {
-        if (this != &o) reset(), id_ = o.id_, o.id_ = 0;
+    EventSource() = default;
+    explicit EventSource(guint id) : id_(id) {}
+    ~EventSource() { reset(); }
+    EventSource(EventSource&& other) noexcept : id_(other.id_) { other.id_ = 0; }
+    EventSource& operator=(EventSource&& other) noexcept {
+        if (this != &other) reset(), id_ = other.id_, other.id_ = 0;
         return *this;
     }
     void reset() {
         if (id_) g_source_remove(id_);
         id_ = 0;
     }
-    void fired() { id_ = 0; }  // the source removed itself
+    // To be called when the source's callback removes the source by returning G_SOURCE_REMOVE.
+    void release() { id_ = 0; }
     explicit operator bool() const { return id_ != 0; }
 
   private:
     guint id_ = 0;
 };
 
-// Fires once, unless destroyed or armed anew before.
+// One-shot timer. Destroying, cancelling or re-arming it drops a callback that has not run yet.
 class Timer {
   public:
     Timer() = default;
     Timer(const Timer&) = delete;
     Timer& operator=(const Timer&) = delete;
-    void arm(double afterMs, std::function<void()> then);
+    void arm(double afterMs, std::function<void()> callback);
     void cancel() {
         source_.reset();
-        then_ = nullptr;  // what it holds is let go now
+        callback_ = nullptr;  // releases what it captured
     }
     bool armed() const { return static_cast<bool>(source_); }
 
   private:
     static gboolean fire(gpointer self);
-    Source source_;
-    std::function<void()> then_;
+    EventSource source_;
+    std::function<void()> callback_;
 };
 
 class Loop {
@@ -71,8 +74,8 @@
     Loop& operator=(const Loop&) = delete;
     void run();
     void stop();
-    // Called on the loop, not in the signal handler.
-    void onSignal(int signal, std::function<void()> then);
+    // `callback` runs on the loop, not in signal-handler context.
+    void onSignal(int signal, std::function<void()> callback);
 
   private:
     GMainLoop* loop_;
--- a/src/platform/configuration.cpp
+++ b/src/platform/configuration.cpp
@@ -15,22 +15,22 @@
 
 using nlohmann::json;
 
-std::string plain(const json& value) {
+std::string scalarText(const json& value) {
     return value.is_string() ? value.get<std::string>() : value.is_null() ? std::string() : value.dump();
 }
 
-// Nested JSON to the paths that the simulator's wire uses: "classes.count" and "classes.0.name" for a list of
-// objects, plain values joined by commas for any other list.
+// Flattens nested JSON to the dotted paths of the simulator's protocol: "classes.count" and "classes.0.name"
+// for a list of objects; any other list becomes one value, joined by commas.
 void flatten(const json& value, const std::string& path, settings::FlatSettings::Values& out, int depth = 0) {
-    constexpr int kDeepest = 16;
-    if (depth > kDeepest) throw settings::SettingError(path.substr(0, 100), "less nesting");
+    constexpr int kMaxDepth = 16;
+    if (depth > kMaxDepth) throw settings::SettingError(path.substr(0, 100), "at most 16 levels of nesting");
     if (value.is_object()) {
         for (const auto& [key, inner] : value.items())
             flatten(inner, path.empty() ? key : path + "." + key, out, depth + 1);
         return;
     }
     if (!value.is_array()) {
-        if (!value.is_null()) out[path] = plain(value);
+        if (!value.is_null()) out[path] = scalarText(value);
         return;
     }
     if (!value.empty() && value.front().is_object()) {
@@ -40,27 +40,28 @@
         return;
     }
     std::string joined;
-    for (const auto& one : value) joined += (joined.empty() ? "" : ",") + plain(one);
+    for (const auto& item : value) joined += (joined.empty() ? "" : ",") + scalarText(item);
     out[path] = joined;
 }
 
-class File {
+// Typed access to the top-level keys of the file; errors name the file and the key.
+class ConfigFile {
   public:
-    File(std::string path, const json& root) : path_(std::move(path)), root_(root) {}
-    [[noreturn]] void fail(const std::string& key, const std::string& wanted) const {
-        throw std::runtime_error(path_ + ": '" + key + "': expected " + wanted);
+    ConfigFile(std::string path, const json& root) : path_(std::move(path)), root_(root) {}
+    [[noreturn]] void fail(const std::string& key, const std::string& expected) const {
+        throw std::runtime_error(path_ + ": '" + key + "': expected " + expected);
     }
-    std::string text(const char* key, const std::string& otherwise) const {
+    std::string text(const char* key, const std::string& fallback) const {
         const auto found = root_.find(key);
-        if (found == root_.end()) return otherwise;
-        if (!found->is_string()) fail(key, "text");
+        if (found == root_.end()) return fallback;
+        if (!found->is_string()) fail(key, "a string");
         return found->get<std::string>();
     }
-    io::Address address(const char* key, const std::string& otherwise, bool needed) const {
+    io::Address address(const char* key, const std::string& fallback, bool required) const {
         io::Address out;
-        const auto value = text(key, otherwise);
-        if (value.empty() && !needed) return out;
-        if (!io::parseNumericAddress(value, out)) fail(key, "a numeric address with its port");
+        const auto value = text(key, fallback);
+        if (value.empty() && !required) return out;
+        if (!io::parseNumericAddress(value, out)) fail(key, "a numeric address and port");
         return out;
     }
 
@@ -73,7 +74,7 @@
 
 Configuration readConfiguration(const std::string& path, const Environment& environment) {
     std::ifstream in(path, std::ios::binary);
-    if (!in) throw std::runtime_error(path + ": can't be opened");
+    if (!in) throw std::runtime_error(path + ": cannot be opened");
     return parseConfiguration({std::istreambuf_iterator<char>(in), {}}, path, environment);
 }
 
@@ -83,13 +84,13 @@
     try {
         root = json::parse(bytes);
     } catch (const json::parse_error& e) {
-        const auto upTo = std::min(e.byte, bytes.size());
+        const auto offset = std::min(e.byte, bytes.size());
         const auto line =
-            1 + std::count(bytes.begin(), bytes.begin() + static_cast<std::ptrdiff_t>(upTo), '\n');
+            1 + std::count(bytes.begin(), bytes.begin() + static_cast<std::ptrdiff_t>(offset), '\n');
         throw std::runtime_error(path + ":" + std::to_string(line) + ": " + e.what());
     }
-    if (!root.is_object()) throw std::runtime_error(path + ": expected one object");
-    const File file(path, root);
+    if (!root.is_object()) throw std::runtime_error(path + ": expected a JSON object");
+    const ConfigFile file(path, root);
     Configuration c;
     c.name = file.text("name", environment.name);
     c.listen = file.address("listen", environment.listen, true);
@@ -101,11 +102,11 @@
     c.peersAll = file.address("peers_all", "", false);
     if (const auto peers = root.find("peers"); peers != root.end()) {
         if (!peers->is_array()) file.fail("peers", "a list");
-        for (const auto& one : *peers) {
-            io::Address a;
-            if (!one.is_string() || !io::parseNumericAddress(one.get<std::string>(), a))
-                file.fail("peers", "numeric addresses with their ports");
-            c.peers.push_back(a);
+        for (const auto& item : *peers) {
+            io::Address address;
+            if (!item.is_string() || !io::parseNumericAddress(item.get<std::string>(), address))
+                file.fail("peers", "numeric addresses and ports");
+            c.peers.push_back(address);
         }
     }
     if (const auto limits = root.find("limits"); limits != root.end()) {
@@ -113,21 +114,21 @@
         const auto sockets = limits->find("sockets");
         if (sockets != limits->end()) {
             if (!sockets->is_number_integer() || sockets->get<std::int64_t>() < 1)
-                file.fail("limits.sockets", "a count");
+                file.fail("limits.sockets", "a positive integer");
             c.sockets = sockets->get<std::size_t>();
         }
         const auto memory = limits->find("memory_mb");
         if (memory != limits->end()) {
             if (!memory->is_number_integer() || memory->get<std::int64_t>() < 1)
-                file.fail("limits.memory_mb", "a count");
+                file.fail("limits.memory_mb", "a positive integer");
             c.memoryMb = std::min<std::size_t>(memory->get<std::size_t>(), 1 << 20);
         }
     }
     c.known.revision = -1;
     if (const auto known = root.find("known"); known != root.end()) {
-        std::string words;
-        if (!registry::parseEndpoints(known->dump(), c.known, words) || c.known.unreadable)
-            file.fail("known", "a list: " + words);
+        std::string reason;
+        if (!registry::parseEndpoints(known->dump(), c.known, reason) || c.known.unreadable)
+            file.fail("known", "a valid node list: " + reason);
     }
     const auto found = root.find("settings");
     if (found == root.end() || !found->is_object()) file.fail("settings", "an object");
@@ -135,11 +136,11 @@
         settings::FlatSettings::Values values;
         flatten(*found, "", values);
         const settings::FlatSettings paths(std::move(values));
-        c.module = settings::settingsFrom(paths);
+        c.schedulerSettings = settings::settingsFrom(paths);
         paths.get("ceilings.dial-timeout-ms", c.dialTimeoutMs);
         paths.get("ceilings.conn-idle-ms", c.connIdleMs);
-        c.module.reportLimitAccounts = true;
-        c.module.maxOpen = mostOpen(c.sockets, c.module.maxOpen);
+        c.schedulerSettings.reportLimitAccounts = true;
+        c.schedulerSettings.maxOpen = maxOpenRequests(c.sockets, c.schedulerSettings.maxOpen);
     } catch (const settings::SettingError& fault) {
         file.fail("settings." + fault.path, fault.expected);
     }
--- a/src/platform/configuration.hpp
+++ b/src/platform/configuration.hpp
@@ -1,5 +1,5 @@
-// What a scheduler of the platform is told: the JSON file of LB_CONFIG, with LB_NAME, LB_LISTEN and
-// LB_DISCOVERY for what the file leaves out.
+// The configuration of a platform scheduler: the JSON file named by LB_CONFIG, with LB_NAME, LB_LISTEN and
+// LB_DISCOVERY as defaults for keys that the file omits.
 #pragma once
 
 #include <cstdint>
@@ -17,21 +17,21 @@
     io::Address listen, discovery;
     std::uint64_t seed = 0;
     std::size_t sockets = 1024, memoryMb = 192;
-    io::Address peerListen, peersAll;  // no port: none
-    std::vector<io::Address> peers;
-    registry::Endpoints known;
-    Settings module;
+    io::Address peerListen, peersAll;  // port 0: not configured
+    std::vector<io::Address> peers;    // by rank
+    registry::Endpoints known;         // the node list in the file; revision -1 if there is none
+    Settings schedulerSettings;
     double dialTimeoutMs = 250, connIdleMs = 30000;  // of connections to disk servers
 };
 
-// What the environment says, as far as it does.
+// Values from environment variables; empty if unset.
 struct Environment {
     std::string name, listen, discovery;
-    bool trace = false;  // each request's way goes to the log
+    bool trace = false;  // log each step of each request
 };
 
-// Throws std::runtime_error: file, line where there is one, and key. The second takes the file's text, and is
-// free of I/O.
+// Both throw std::runtime_error naming the file, the key and, for syntax errors, the line.
+// parseConfiguration() takes the text of the file and does no I/O.
 Configuration readConfiguration(const std::string& file, const Environment& environment);
 Configuration parseConfiguration(const std::string& text, const std::string& file,
                                  const Environment& environment);
--- a/src/platform/decide_budget.hpp
+++ b/src/platform/decide_budget.hpp
@@ -1,4 +1,4 @@
-// What a scheduler allows itself of its machine's limits. Free of I/O and clocks.
+// How a scheduler divides its descriptor and memory limits among its parts. Free of I/O and clocks.
 #pragma once
 
 #include <algorithm>
@@ -10,34 +10,38 @@
 
 namespace spokewheel::platform {
 
-// Connections to disk servers: to one of them the module's windows bound them, this is a bound on a mistake;
-// all together have their share of the descriptors. Kept ones close some time before the disk server would.
-// Answers on their way have a quarter of the memory.
+// Bounds of the pool of connections to disk servers. The connections to one server are already bounded by the
+// scheduling module's windows; `open` only guards against a fault there. All pools together get their share
+// of the descriptors. Idle connections are closed somewhat before the disk server would close them. Answers
+// being received get a quarter of the memory.
 inline nodes::PoolCaps poolCaps(std::size_t sockets, std::size_t memoryMb, double connIdleMs,
                                 double dialTimeoutMs) {
-    constexpr std::size_t kMostToOne = 64;
-    constexpr double kIdlePart = 0.8;
-    // The time left to the client is told in the head, with a slack of 0.15 s until the last byte is there.
-    constexpr double kWholeWithinMs = 120;
+    constexpr std::size_t kMaxPerNode = 64;
+    constexpr double kIdleFraction = 0.8;
+    // The head of a request states the client's remaining time; the last byte has to follow it within the
+    // platform's tolerance of 0.15 s.
+    constexpr double kWriteTimeoutMs = 120;
     nodes::PoolCaps caps;
-    caps.open = caps.idle = kMostToOne;
-    caps.total = fronts::http::sharesOf(sockets).nodes;
-    caps.idleMs = kIdlePart * connIdleMs;
+    caps.open = caps.idle = kMaxPerNode;
+    caps.total = fronts::http::splitDescriptors(sockets).nodes;
+    caps.idleMs = kIdleFraction * connIdleMs;
     caps.connectMs = dialTimeoutMs;
-    caps.wholeWithinMs = kWholeWithinMs;
+    caps.wholeWithinMs = kWriteTimeoutMs;
     caps.buffered = memoryMb * 1024 * 1024 / 4;
     return caps;
 }
 
-// What waits unread behind open requests has an eighth of the memory.
+// Bytes pipelined behind open requests get an eighth of the memory.
 inline fronts::http::Server::Caps serverCaps(std::size_t sockets, std::size_t memoryMb) {
     return {sockets, memoryMb * 1024 * 1024 / 8};
 }
 
-// Requests that can be open at once: each holds a connection. `told` is what the settings say; 0: nothing.
-inline int mostOpen(std::size_t sockets, int told) {
-    const int held = static_cast<int>(std::min<std::size_t>(fronts::http::heldForRequests(sockets), 1000000));
-    return told > 0 ? std::min(told, held) : held;
+// How many requests can be open at once; each occupies a connection. `configured`: the limit in the settings,
+// 0 if there is none.
+inline int maxOpenRequests(std::size_t sockets, int configured) {
+    const int byConnections =
+        static_cast<int>(std::min<std::size_t>(fronts::http::maxRequestConnections(sockets), 1000000));
+    return configured > 0 ? std::min(configured, byConnections) : byConnections;
 }
 
 }  // namespace spokewheel::platform
--- a/src/platform/decide_reload.hpp
+++ b/src/platform/decide_reload.hpp
@@ -1,11 +1,11 @@
-// When a configuration that can't be read after SIGHUP is read again: it may be half written, or opening it
-// fails for a moment. Free of I/O and clocks; milliseconds.
+// How long a configuration that can't be read after SIGHUP is tried again: the file may be half written, or
+// opening it may fail for a moment. Free of I/O and clocks; milliseconds.
 #pragma once
 
 namespace spokewheel::platform {
 
-// What discovery tells at its new address counts as told 4 s after the SIGHUP: a watch needs up to 2.3 s of
-// it.
-constexpr double kReadAgainMs = 50, kReadAgainForMs = 1500;
+// The platform counts changes announced at a new discovery address as known 4 s after the SIGHUP, and a new
+// watch takes up to 2.3 s of that.
+constexpr double kReloadRetryIntervalMs = 50, kReloadRetryForMs = 1500;
 
 }  // namespace spokewheel::platform
--- a/src/platform/decide_start.hpp
+++ b/src/platform/decide_start.hpp
@@ -1,22 +1,22 @@
-// What a started scheduler waits for before clients are sent to it. Free of I/O and clocks; milliseconds.
+// What a starting scheduler waits for before it reports ready. Free of I/O and clocks; milliseconds.
 //
-// The list of the configuration may miss a drain that this machine's agent had heard of before it fell
-// silent, and what the agent has counts as told from the first moment of a process. So nothing is sent by
-// that list alone, however long the agent stays silent: the agent's own word, or peers
-// (registry/decide_confirmation.hpp), have to confirm it. What is asked for before that waits, and is refused
-// by the module when its time has come, as for a shard without a node.
+// The node list in the configuration may lack a drain that this machine's discovery agent had learned of
+// before it stopped answering, and the platform counts whatever the agent knows as known to a process from
+// its start. So no request is sent on the configured list alone, however long the agent is silent: the agent
+// itself, or peers (registry/decide_confirmation.hpp), must confirm it first. Until then requests wait, and
+// the scheduling module refuses them when their time is up, as for a shard without a node.
 #pragma once
 
 namespace spokewheel::platform {
 
-// The agent is on the same machine and answers at once: one that says nothing for so long is down, or late.
+// The agent is on the same machine and answers at once; after this long without an answer it is down or slow.
 constexpr double kAskPeersAfterMs = 300;
 
-// Nine of ten restarted schedulers have to be ready within 10 s, within 6 s where the day ends sooner; a
-// client that is not sent here may find another scheduler meanwhile.
-constexpr double kReadyAtLatestMs = 5000;
+// Nine out of ten restarted schedulers must be ready within 10 s, or within 6 s if the run ends sooner. Until
+// this one is ready, its clients may find another scheduler.
+constexpr double kReadyDeadlineMs = 5000;
 
-// Sockets may not be had for a moment, and the process before may still hold the address.
-constexpr double kListenAgainMs = 50, kListenAgainForMs = 20000;
+// Sockets may be unavailable for a moment, and the previous process may still hold the address.
+constexpr double kListenRetryIntervalMs = 50, kListenRetryForMs = 20000;
 
 }  // namespace spokewheel::platform
--- a/src/platform/decide_stop.hpp
+++ b/src/platform/decide_stop.hpp
@@ -1,4 +1,4 @@
-// The course of a planned stop. Free of I/O and clocks; times are milliseconds after the SIGTERM.
+// The schedule of a graceful shutdown. Free of I/O and clocks; times are milliseconds after the SIGTERM.
 #pragma once
 
 #include <algorithm>
@@ -8,34 +8,37 @@
 
 namespace spokewheel::platform {
 
-// The platform kills no sooner than the longest deadline, taken as 3 s where it is longer, and 0.7 s more.
-// New connections keep coming for up to 0.4 s; clients go on using those that stay open, and many have no
-// other scheduler to go to: each kept connection is served for as long as a request that comes on it can
+// The platform kills the process after the longest deadline of any class, counted as 3 s if it is longer,
+// plus 0.7 s. New connections arrive for up to 0.4 s; clients go on using connections that stay open, and
+// many have no other scheduler. So each kept connection is served for as long as a new request on it can
 // still be answered.
-struct StopPlan {
-    double closeFromMs =
-        0;  // answers end their connections, idle ones are closed; the program ends once none is open
-    double answerByMs = 0;  // what comes after the SIGTERM has its answer by here, whatever its client allows
-    // Clients that can't connect go elsewhere; ones that find a process that ends come back again and again.
+struct ShutdownPlan {
+    // From here on each answer closes its connection and idle connections are closed; the process exits once
+    // no connection is left.
+    double closeFromMs = 0;
+    // Requests that arrive after the SIGTERM are answered by then, even if their clients allow more time.
+    double answerByMs = 0;
+    // Clients whose connection attempt fails go elsewhere; clients that get a connection to a stopping
+    // process keep coming back.
     double listenUntilMs = 0;
 };
 
-inline StopPlan stopPlan(const std::vector<RequestClass>& classes) {
-    constexpr double kMostDeadlineMs = 3000, kKillMs = 700;
-    constexpr double kServedMs = 700;   // kept connections are served so long, where the kill allows it
-    constexpr double kReserveMs = 400;  // between the last answer and the kill: a busy core may be late
-    constexpr double kLastMs = 250;     // what a request that comes last is left with
-    constexpr double kNewMs = 450;      // new connections are expected so long
+inline ShutdownPlan shutdownPlan(const std::vector<RequestClass>& classes) {
+    constexpr double kMaxDeadlineMs = 3000, kKillAfterDeadlineMs = 700;
+    constexpr double kMinServeMs = 700;     // kept connections are served this long if the kill allows it
+    constexpr double kKillReserveMs = 400;  // between the last answer and the kill: a busy core may be late
+    constexpr double kLastRequestMs = 250;  // time that the last accepted request has left
+    constexpr double kMinListenMs = 450;    // new connections are expected this long
     double longest = 0;
     for (const auto& c : classes) longest = std::max(longest, c.deadlineMs);
-    const double killMs = std::min(longest, kMostDeadlineMs) + kKillMs;
-    StopPlan plan;
-    // Whatever the deadlines: nothing may be left for the kill, which comes 0.7 s after the SIGTERM at the
-    // least.
-    plan.answerByMs = killMs - kReserveMs;
+    const double killMs = std::min(longest, kMaxDeadlineMs) + kKillAfterDeadlineMs;
+    ShutdownPlan plan;
+    // Applies however short the deadlines are: no request may still be open at the kill, which comes at least
+    // 0.7 s after the SIGTERM.
+    plan.answerByMs = killMs - kKillReserveMs;
     plan.closeFromMs =
-        std::clamp(plan.answerByMs - kLastMs, std::min(kServedMs, plan.answerByMs), plan.answerByMs);
-    plan.listenUntilMs = std::max(plan.closeFromMs, kNewMs);
+        std::clamp(plan.answerByMs - kLastRequestMs, std::min(kMinServeMs, plan.answerByMs), plan.answerByMs);
+    plan.listenUntilMs = std::max(plan.closeFromMs, kMinListenMs);
     return plan;
 }
 
--- a/src/platform/dialect.cpp
+++ b/src/platform/dialect.cpp
@@ -8,28 +8,29 @@
 namespace spokewheel::platform {
 namespace {
 
-constexpr double kMostFigure = 1e9;
-// The network's round trips take a fraction of a millisecond, but a second answer may come some milliseconds
-// late, and on a connection in use it would be taken for the next one's.
-constexpr double kRestMs = 12;
+constexpr double kMaxFieldValue = 1e9;
+// Round trips take a fraction of a millisecond, but a disk server may send a second answer some milliseconds
+// late. On a connection already in use again, it would be taken for the answer to the next request.
+constexpr double kReuseDelayMs = 12;
 
-// A figure that can't be read is passed over: the answer that carries it is good.
-std::optional<double> figure(const wire::http::Head& head, const char* name) {
+// A value that can't be parsed is ignored: the answer itself is valid.
+std::optional<double> numericField(const wire::http::Head& head, const char* name) {
     const auto* text = head.find(name);
     double value = 0;
     if (!text) return std::nullopt;
     const auto [end, error] = std::from_chars(text->data(), text->data() + text->size(), value);
-    const bool fine = error == std::errc() && end == text->data() + text->size() && std::isfinite(value) &&
-                      value >= 0 && value <= kMostFigure;
-    return fine ? std::optional<double>(value) : std::nullopt;
+    const bool valid = error == std::errc() && end == text->data() + text->size() && std::isfinite(value) &&
+                       value >= 0 && value <= kMaxFieldValue;
+    return valid ? std::optional<double>(value) : std::nullopt;
 }
 
 }  // namespace
 
 Outcome outcomeOf(const wire::http::Head& head) {
     if (head.status == 200) return Outcome::Served;
-    const auto* notRun = head.find("X-Not-Processed");
-    if ((head.status == 503 || head.status == 504) && notRun && *notRun == "1") return Outcome::Rejected;
+    const auto* notProcessed = head.find("X-Not-Processed");
+    if ((head.status == 503 || head.status == 504) && notProcessed && *notProcessed == "1")
+        return Outcome::Rejected;
     return Outcome::ServerError;
 }
 
@@ -44,14 +45,14 @@
     d.read = [](const wire::http::Head& head) {
         host::AttemptResult out;
         out.outcome = outcomeOf(head);
-        // The wire's figure is one less than the module's, in which 0 stands for "not told".
-        if (const auto used = figure(head, "X-Volume-Use")) out.usage = *used + 1;
-        if (const auto others = figure(head, "X-Served-Elsewhere")) out.othersGot = *others;
+        // The scheduling module counts from 1, with 0 for "unknown".
+        if (const auto used = numericField(head, "X-Volume-Use")) out.usage = *used + 1;
+        if (const auto others = numericField(head, "X-Served-Elsewhere")) out.othersGot = *others;
         return out;
     };
     d.probeTarget = probesTellLoad ? "/status/load" : "/health";
     d.runsOnlyWhole = true;
-    d.restMs = kRestMs;
+    d.restMs = kReuseDelayMs;
     d.distrustIdle = true;
     return d;
 }
--- a/src/platform/platform_daemon.cpp
+++ b/src/platform/platform_daemon.cpp
@@ -17,17 +17,18 @@
 
 namespace {
 
-constexpr double kPulseMs = 10000;
+constexpr double kCounterLogIntervalMs = 10000;
 
-// Throws std::runtime_error that names the file and the setting where they contradict each other.
-std::unique_ptr<host::Host> raiseHost(const std::string& file, const Configuration& configuration,
-                                      host::Host::Edges edges) {
-    // Requests wait in the module alone: how many there can be is bounded by the connections.
-    constexpr auto kAll = std::numeric_limits<std::size_t>::max();
+// Throws std::runtime_error naming the file and the setting if the settings are inconsistent.
+std::unique_ptr<host::Host> createHost(const std::string& file, const Configuration& configuration,
+                                       host::Host::Edges edges) {
+    // All requests wait in the scheduling module; their number is bounded by the connections.
+    constexpr auto kUnlimited = std::numeric_limits<std::size_t>::max();
     try {
-        return std::make_unique<host::Host>(configuration.module, configuration.seed, kAll, std::move(edges));
-    } catch (const std::invalid_argument& fault) {
-        throw std::runtime_error(file + ": settings: " + fault.what());
+        return std::make_unique<host::Host>(configuration.schedulerSettings, configuration.seed, kUnlimited,
+                                            std::move(edges));
+    } catch (const std::invalid_argument& error) {
+        throw std::runtime_error(file + ": settings: " + error.what());
     }
 }
 
@@ -44,7 +45,7 @@
         std::make_unique<nodes::NodeClient>(poolCaps(c.sockets, c.memoryMb, c.connIdleMs, c.dialTimeoutMs),
                                             platformDialect(
                                                 [this](const std::string& node, io::Address& out) {
-                                                    const auto* address = book_.address(node);
+                                                    const auto* address = nodeTable_.address(node);
                                                     return address && io::parseNumericAddress(*address, out);
                                                 },
                                                 true));
@@ -59,101 +60,103 @@
             log_.event(Level::Info, event, {{"request", request}, {"node", node}, {"words", words}},
                        io::nowMs());
         };
-    edges.noteLimit = [this](const LimitAccount& note) { logLimit(log_, note); };
-    host_ = raiseHost(file_, c, std::move(edges));
-    raisePeers();
+    edges.noteLimit = [this](const LimitAccount& note) { logLimitAccount(log_, note); };
+    host_ = createHost(file_, c, std::move(edges));
+    startPeerLink();
     host_->monitor().reportTo(
         [this](invariants::Violation violation, const std::string& request, const std::string& detail) {
             log_.event(Level::Error, "invariant_violated",
                        {{"kind", nameOf(violation)}, {"request", request}, {"words", detail}}, io::nowMs());
         });
-    server_ = std::make_unique<fronts::http::Server>(*host_, configuration_.module, c.listen,
+    server_ = std::make_unique<fronts::http::Server>(*host_, configuration_.schedulerSettings, c.listen,
                                                      serverCaps(c.sockets, c.memoryMb));
     if (environment_.trace)
-        server_->noteCloses([this](fronts::http::CloseReason reason, const std::string& request) {
+        server_->onClose([this](fronts::http::CloseReason reason, const std::string& request) {
             log_.event(Level::Info, "client_closed", {{"reason", nameOf(reason)}, {"request", request}},
                        io::nowMs());
         });
-    follow();
-    startTimer_.arm(kReadyAtLatestMs, [this] { begin("not heard"); });
+    startWatch();
+    readyTimer_.arm(kReadyDeadlineMs, [this] { becomeReady("not heard"); });
     log_.event(Level::Info, "started",
                {{"listen", c.listen.text()},
                 {"sockets", std::to_string(c.sockets)},
                 {"conn_idle_ms", std::to_string(c.connIdleMs)},
                 {"nodes", std::to_string(c.known.entries.size())}},
                io::nowMs());
-    pulseTimer_.arm(kPulseMs, [this] { pulse(); });
+    counterTimer_.arm(kCounterLogIntervalMs, [this] { reportCounters(); });
 }
 
 PlatformDaemon::~PlatformDaemon() = default;
 
-void PlatformDaemon::raisePeers() {
+void PlatformDaemon::startPeerLink() {
     const auto& c = configuration_;
-    StartList::Edges edges;
-    edges.confirmed = [this](registry::Endpoints list) { onConfirmed(std::move(list)); };
-    if (c.module.maySendToPeers && c.peerListen.port > 0) {
-        peers_ = std::make_unique<peers::PlainLink>(c.module.rank, c.peerListen, c.peers, c.peersAll,
-                                                    [this](int from, std::string bytes) {
-                                                        if (!startList_->onPeer(from, bytes))
+    StartupNodeList::Callbacks callbacks;
+    callbacks.onConfirmed = [this](registry::Endpoints list) { onConfirmed(std::move(list)); };
+    if (c.schedulerSettings.maySendToPeers && c.peerListen.port > 0) {
+        peers_ = std::make_unique<peers::PlainLink>(c.schedulerSettings.rank, c.peerListen, c.peers,
+                                                    c.peersAll, [this](int from, std::string bytes) {
+                                                        if (!startupList_->onPeerMessage(from, bytes))
                                                             host_->onPeer(from, std::move(bytes));
                                                     });
-        edges.tell = [this](int rank, const std::string& bytes) { peers_->tell(rank, bytes); };
+        callbacks.sendToPeer = [this](int rank, const std::string& bytes) { peers_->tell(rank, bytes); };
     }
-    startList_ = std::make_unique<StartList>(configuration_.known, book_, static_cast<int>(c.peers.size()),
-                                             c.module.rank, c.seed, std::move(edges));
+    startupList_ =
+        std::make_unique<StartupNodeList>(configuration_.known, nodeTable_, static_cast<int>(c.peers.size()),
+                                          c.schedulerSettings.rank, c.seed, std::move(callbacks));
 }
 
-void PlatformDaemon::follow() {
+void PlatformDaemon::startWatch() {
     watch_ = std::make_unique<registry::EndpointWatcher>(
         configuration_.discovery, configuration_.known.revision, configuration_.seed,
         [this](registry::Endpoints list) {
             const auto form = list.complete ? ListForm::Full : ListForm::Delta;
-            if (form == ListForm::Delta) recall();  // what changed since then
-            else recalled_ = true;
+            if (form == ListForm::Delta) applyConfiguredList();  // the base of the delta
+            else configuredListApplied_ = true;
             onEndpoints(std::move(list), form);
         },
         [this](registry::WatchFault fault, const std::string& words) {
             log_.event(Level::Warn, "node_list_fault", {{"reason", nameOf(fault)}, {"words", words}},
                        io::nowMs());
-            book_.observeClocks({io::nowMs(), io::wallMs()});
-            if (configuration_.module.subscribe) host_->onList({ListForm::Failed, {}});
+            nodeTable_.observeClocks({io::nowMs(), io::wallMs()});
+            if (configuration_.schedulerSettings.subscribe) host_->onList({ListForm::Failed, {}});
         },
-        [this] { onHeard(); });
+        [this] { onAgentAnswered(); });
 }
 
-// The agent spoke: what the configuration's list says holds, with what the agent told besides.
-void PlatformDaemon::onHeard() {
-    book_.noteContact({io::nowMs(), io::wallMs()});
-    if (startList_->heardFromAgent()) return startList_->heard();
-    startList_->heard();
-    recall();
-    begin("heard");
+// The discovery agent has sent something. Its first message confirms the configured list, together with the
+// changes that it has sent itself.
+void PlatformDaemon::onAgentAnswered() {
+    nodeTable_.noteContact({io::nowMs(), io::wallMs()});
+    if (startupList_->agentAnswered()) return startupList_->onAgentAnswered();
+    startupList_->onAgentAnswered();
+    applyConfiguredList();
+    becomeReady("heard");
 }
 
 void PlatformDaemon::onConfirmed(registry::Endpoints list) {
     onEndpoints(std::move(list), ListForm::Cached);
-    begin("confirmed by peers");
+    becomeReady("confirmed by peers");
 }
 
-// The list of the configuration, on which the agent's word builds; whole lists of the agent need none.
-void PlatformDaemon::recall() {
-    if (std::exchange(recalled_, true) || configuration_.known.revision < 0) return;
+// Applies the configured list once, as the base for the agent's changes. Not needed after a complete list.
+void PlatformDaemon::applyConfiguredList() {
+    if (std::exchange(configuredListApplied_, true) || configuration_.known.revision < 0) return;
     onEndpoints(std::exchange(configuration_.known, {}), ListForm::Cached);
 }
 
-// Clients are sent here from now on, with a list or, at the latest moment that decide_start.hpp allows,
-// without one: then nothing is sent on until one comes.
-void PlatformDaemon::begin(const char* why) {
-    if (std::exchange(begun_, true)) return;
-    startTimer_.cancel();
+// Reports ready to clients: with a node list, or without one at the deadline of decide_start.hpp. In the
+// latter case no request is sent to a node until a list arrives.
+void PlatformDaemon::becomeReady(const char* why) {
+    if (std::exchange(readyAnnounced_, true)) return;
+    readyTimer_.cancel();
     using invariants::Violation;
-    const bool listed = startList_->heardFromAgent() || book_.revision() >= 0;
-    const bool waited = io::nowMs() >= startedAt_ + kReadyAtLatestMs;
-    host_->monitor().check(listed || waited, Violation::ReadyBeforeNodeList, "");
-    if (!stopping_) server_->ready();
+    const bool hasList = startupList_->agentAnswered() || nodeTable_.revision() >= 0;
+    const bool timedOut = io::nowMs() >= startedAt_ + kReadyDeadlineMs;
+    host_->monitor().check(hasList || timedOut, Violation::ReadyBeforeNodeList, "");
+    if (!stopping_) server_->markReady();
     log_.event(Level::Info, "ready",
                {{"list", why},
-                {"nodes", std::to_string(book_.size())},
+                {"nodes", std::to_string(nodeTable_.size())},
                 {"after_ms", std::to_string(io::nowMs() - startedAt_)}},
                io::nowMs());
 }
@@ -162,24 +165,26 @@
     if (list.unreadable)
         log_.event(Level::Warn, "node_list_entries_unreadable", {{"count", std::to_string(list.unreadable)}},
                    io::nowMs());
-    auto change = book_.apply(std::move(list), form, {io::nowMs(), io::wallMs()});
+    auto change = nodeTable_.apply(std::move(list), form, {io::nowMs(), io::wallMs()});
     if (!change.applied) return;
-    // The module hears first, so that what is retired is asked about with the new word known.
+    // The scheduling module is updated first, so that it decides on attempts to retired nodes with the new
+    // list.
     host_->onList(std::move(change.update));
     for (const auto& node : change.nodesToDisconnect) nodes_->retire(node);
 }
 
 void PlatformDaemon::reload() {
-    reloadUntil_ = io::nowMs() + kReadAgainForMs;
-    readAgain();
+    reloadRetryUntil_ = io::nowMs() + kReloadRetryForMs;
+    tryReload();
 }
 
-void PlatformDaemon::readAgain() {
+void PlatformDaemon::tryReload() {
     Configuration read;
     try {
         read = readConfiguration(file_, environment_);
     } catch (const std::exception& e) {
-        if (io::nowMs() < reloadUntil_) return reloadTimer_.arm(kReadAgainMs, [this] { readAgain(); });
+        if (io::nowMs() < reloadRetryUntil_)
+            return reloadTimer_.arm(kReloadRetryIntervalMs, [this] { tryReload(); });
         log_.event(Level::Error, "configuration_kept", {{"words", e.what()}}, io::nowMs());
         return;
     }
@@ -196,18 +201,18 @@
         return drain();
     }
     log_.event(Level::Info, "stopping", {{"open", std::to_string(host_->open())}}, io::nowMs());
-    const auto plan = stopPlan(configuration_.module.classes);
-    server_->unready();
+    const auto plan = shutdownPlan(configuration_.schedulerSettings.classes);
+    server_->markNotReady();
     host_->answerBy(io::nowMs() + plan.answerByMs);
-    stopTimer_.arm(plan.closeFromMs, [this] { drain(); });
+    closeTimer_.arm(plan.closeFromMs, [this] { drain(); });
     listenTimer_.arm(plan.listenUntilMs, [this] { server_->stopListening(); });
 }
 
 void PlatformDaemon::drain() {
-    stopTimer_.cancel();
+    closeTimer_.cancel();
     server_->drain([this] {
-        pulse();
-        for (const auto& note : host_->limitNotes()) logLimit(log_, note);
+        reportCounters();
+        for (const auto& note : host_->limitNotes()) logLimitAccount(log_, note);
         log_.event(Level::Info, "stopped",
                    {{"open", std::to_string(host_->open())},
                     {"violations", std::to_string(host_->monitor().total())}},
@@ -216,19 +221,19 @@
     });
 }
 
-void PlatformDaemon::pulse() {
-    logPulse(log_, {*host_, *server_, *nodes_, *watch_, peers_.get(), host_->monitor().total()});
-    pulseTimer_.arm(kPulseMs, [this] { pulse(); });
+void PlatformDaemon::reportCounters() {
+    logCounters(log_, {*host_, *server_, *nodes_, *watch_, peers_.get(), host_->monitor().total()});
+    counterTimer_.arm(kCounterLogIntervalMs, [this] { reportCounters(); });
 }
 
 std::unique_ptr<PlatformDaemon> startPlatform(const std::string& file, const Environment& environment,
                                               io::Loop& loop) {
-    const double until = io::nowMs() + kListenAgainForMs;
+    const double until = io::nowMs() + kListenRetryForMs;
     for (;;) try {
             return std::make_unique<PlatformDaemon>(file, environment, loop);
         } catch (const io::ListenError&) {
             if (io::nowMs() >= until) throw;
-            g_usleep(static_cast<gulong>(1000 * kListenAgainMs));
+            g_usleep(static_cast<gulong>(1000 * kListenRetryIntervalMs));
         }
 }
 
--- a/src/platform/platform_daemon.hpp
+++ b/src/platform/platform_daemon.hpp
@@ -1,5 +1,5 @@
-// One scheduler of the platform put together: configuration in, sockets out. Wiring only; nothing here
-// decides.
+// Assembles a platform scheduler from its configuration: HTTP server, host, node connections, peer messages
+// and the watch on the node list. Wiring only; decisions are made in the decide_*.hpp headers.
 #pragma once
 
 #include <memory>
@@ -11,7 +11,7 @@
 #include "nodes/node_client.hpp"
 #include "peers/plain_link.hpp"
 #include "platform/configuration.hpp"
-#include "platform/start_list.hpp"
+#include "platform/startup_node_list.hpp"
 #include "registry/endpoint_watcher.hpp"
 #include "registry/node_table.hpp"
 
@@ -19,48 +19,49 @@
 
 class PlatformDaemon {
   public:
-    // Throws std::runtime_error or std::invalid_argument where it can't start.
+    // Throws std::runtime_error or std::invalid_argument if it can't start.
     PlatformDaemon(std::string file, Environment environment, io::Loop& loop);
     ~PlatformDaemon();
-    // The configuration was replaced: read whole; a bad one is told and changes nothing.
+    // Reads the configuration again and applies a changed discovery address. An invalid file is logged and
+    // changes nothing.
     void reload();
-    // First call: goes on as decide_stop.hpp tells, then the loop stops. Second: ends as soon as all that is
-    // open has its answer.
+    // First call: shuts down as planned in decide_stop.hpp, then stops the loop. Second call: stops as soon
+    // as all open requests are answered.
     void stop();
     const invariants::Monitor& monitor() const { return host_->monitor(); }
 
   private:
-    void follow();
-    void raisePeers();
-    void onHeard();
+    void startWatch();
+    void startPeerLink();
+    void onAgentAnswered();
     void onConfirmed(registry::Endpoints list);
-    void begin(const char* why);
-    void recall();
+    void becomeReady(const char* why);
+    void applyConfiguredList();
     void onEndpoints(registry::Endpoints list, ListForm form);
-    void readAgain();
+    void tryReload();
     void drain();
-    void pulse();
+    void reportCounters();
 
     std::string file_;
     Environment environment_;
     io::Loop& loop_;
     Configuration configuration_;
     log::Log log_;
-    registry::NodeTable book_;
+    registry::NodeTable nodeTable_;
     double startedAt_ = io::nowMs();
     std::unique_ptr<nodes::NodeClient> nodes_;
     std::unique_ptr<host::Host> host_;
     std::unique_ptr<peers::PlainLink> peers_;
-    std::unique_ptr<StartList> startList_;
+    std::unique_ptr<StartupNodeList> startupList_;
     std::unique_ptr<registry::EndpointWatcher> watch_;
-    io::Timer startTimer_, pulseTimer_, stopTimer_, listenTimer_, reloadTimer_;
-    double reloadUntil_ = 0;  // while a configuration that could not be read is read again
+    io::Timer readyTimer_, counterTimer_, closeTimer_, listenTimer_, reloadTimer_;
+    double reloadRetryUntil_ = 0;  // on io::nowMs(); until then an unreadable configuration is read again
     std::unique_ptr<fronts::http::Server> server_;
-    bool begun_ = false, recalled_ = false, stopping_ = false;
+    bool readyAnnounced_ = false, configuredListApplied_ = false, stopping_ = false;
 };
 
-// Makes one, waiting as decide_start.hpp says where it can't listen yet. Blocks; nothing runs yet. Throws as
-// the constructor does.
+// Creates a daemon. While it can't listen, blocks and tries again for as long as decide_start.hpp says; then
+// throws as the constructor does.
 std::unique_ptr<PlatformDaemon> startPlatform(const std::string& file, const Environment& environment,
                                               io::Loop& loop);
 
--- a/src/platform/report.cpp
+++ b/src/platform/report.cpp
@@ -15,13 +15,13 @@
     return std::to_string(number);
 }
 
-std::string unitsText(double units) {
+std::string formatUnits(double units) {
     char out[32];
     std::snprintf(out, sizeof out, "%.2f", units);
     return out;
 }
 
-// "closed=2 silent=1": the counts above zero of an enum with a Count, by name.
+// "closed=2 silent=1": the non-zero counts, by name of the enumerator. `Enum` ends with Count.
 template <class Enum, class Counts>
 std::string countsByName(const Counts& counts) {
     std::string out;
@@ -32,14 +32,14 @@
     return out;
 }
 
-std::string outcomesText(const host::Counters& counters) {
+std::string outcomeCounts(const host::Counters& counters) {
     std::string out;
     for (const auto& [outcome, count] : counters.outcomes)
         out += (out.empty() ? "" : " ") + text(static_cast<int>(outcome)) + "=" + text(count);
     return out;
 }
 
-std::string endsText(const host::Counters& counters) {
+std::string endReasonCounts(const host::Counters& counters) {
     std::string out;
     for (const auto& [reason, count] : counters.ends)
         out += (out.empty() ? "" : " ") + std::string(host::nameOf(reason)) + "=" + text(count);
@@ -54,13 +54,13 @@
 
 }  // namespace
 
-void logPulse(log::Log& log, const PulseSources& sources) {
+void logCounters(log::Log& log, const CounterSources& sources) {
     const auto& c = sources.host.counters();
     const auto& server = sources.server.counts();
     const double now = io::nowMs();
     log.event(Level::Info, "pulse",
               {{"clients", text(sources.server.connections())},
-               {"most", text(server.most)},
+               {"most", text(server.peakConnections)},
                {"open", text(sources.host.open())},
                {"taken", text(c.taken)},
                {"served", text(c.served)},
@@ -69,7 +69,8 @@
                {"attempts", text(c.attempts)},
                {"violations", text(sources.violations)}},
               now);
-    log.event(Level::Info, "pulse_ends", {{"outcomes", outcomesText(c)}, {"not_served", endsText(c)}}, now);
+    log.event(Level::Info, "pulse_ends", {{"outcomes", outcomeCounts(c)}, {"not_served", endReasonCounts(c)}},
+              now);
     log.event(Level::Info, "pulse_closes",
               {{"client_closes", countsByName<fronts::http::CloseReason>(server.closes)}}, now);
     log.event(Level::Info, "pulse_links",
@@ -80,7 +81,7 @@
               {{"errors", text(server.errors)},
                {"gave_way", text(server.gaveWay)},
                {"steps", text(c.steps)},
-               {"step_ms", unitsText(c.stepMs)},
+               {"step_ms", formatUnits(c.stepMs)},
                {"node_links", text(sources.nodes.connections())},
                {"node_dials", text(sources.nodes.dials())},
                {"peers_received", sources.peers ? text(sources.peers->counts().received) : ""},
@@ -89,19 +90,19 @@
               now);
 }
 
-void logLimit(log::Log& log, const LimitAccount& note) {
+void logLimitAccount(log::Log& log, const LimitAccount& note) {
     char volume[20];
     std::snprintf(volume, sizeof volume, "%016llx", static_cast<unsigned long long>(note.volume));
     log.event(Level::Info, "limit_account",
               {{"moment", nameOf(note.moment)},
                {"volume", volume},
                {"hosts", text(note.hosts)},
-               {"own", unitsText(note.own)},
-               {"leased", unitsText(note.leased)},
-               {"reserved", unitsText(note.reserved)},
-               {"level", unitsText(note.level)},
-               {"credit", unitsText(note.credit)},
-               {"sent", unitsText(note.sent)}},
+               {"own", formatUnits(note.own)},
+               {"leased", formatUnits(note.leased)},
+               {"reserved", formatUnits(note.reserved)},
+               {"level", formatUnits(note.level)},
+               {"credit", formatUnits(note.credit)},
+               {"sent", formatUnits(note.sent)}},
               io::nowMs());
 }
 
--- a/src/platform/report.hpp
+++ b/src/platform/report.hpp
@@ -1,5 +1,5 @@
-// What a scheduler of the platform writes to its log of itself: counters from time to time, and what it holds
-// of limits. Each line is short enough that no collector cuts it off. Formatting only; nothing here decides.
+// Log events in which a scheduler reports on itself: its counters, regularly, and its accounts of volume
+// limits. Each line is short enough not to be truncated by log collectors. Formatting only.
 #pragma once
 
 #include "fronts/http/server.hpp"
@@ -11,11 +11,11 @@
 
 namespace spokewheel::platform {
 
-// Characters of a line, its head included, that collectors of logs were seen to keep.
-constexpr std::size_t kMostLineLength = 300;
+// Characters of a line, including its prefix, that log collectors were observed to keep.
+constexpr std::size_t kMaxLineLength = 300;
 
-// The parts whose counters a pulse tells; all outlive it. `peers` may be null.
-struct PulseSources {
+// The components whose counters are logged. `peers` may be null.
+struct CounterSources {
     const host::Host& host;
     const fronts::http::Server& server;
     const nodes::NodeClient& nodes;
@@ -24,11 +24,12 @@
     std::size_t violations;
 };
 
-// Events `pulse` (requests), `pulse_ends` (why requests and attempts ended), `pulse_closes` (why connections
-// did), `pulse_links`, `pulse_watch` and `pulse_work`.
-void logPulse(log::Log& log, const PulseSources& sources);
+// Logs the events `pulse` (requests), `pulse_ends` (why requests and attempts ended), `pulse_closes` (why
+// client connections ended), `pulse_links` (why node connections ended), `pulse_watch` (faults of the node
+// list watch) and `pulse_work` (errors, scheduler steps, connections, peer messages).
+void logCounters(log::Log& log, const CounterSources& sources);
 
-// Event `limit_account`: one volume's parts, in units.
-void logLimit(log::Log& log, const LimitAccount& note);
+// Logs the event `limit_account`: what this host holds of one volume's limit, in units.
+void logLimitAccount(log::Log& log, const LimitAccount& note);
 
 }  // namespace spokewheel::platform
--- a/tests/gateway/platform_close_test.cpp
+++ b/tests/gateway/platform_close_test.cpp
@@ -1,5 +1,5 @@
-// The ends of client connections, each with a client on a plain socket that forces the order: what is owed at
-// that instant still comes, and what comes after it goes nowhere.
+// How client connections end. Clients on plain sockets force the order of events: answers that are due when a
+// connection ends still arrive, and later requests are not passed to a disk server.
 #include <arpa/inet.h>
 #include <netinet/in.h>
 #include <sys/socket.h>
@@ -11,28 +11,28 @@
 namespace spokewheel::platform::testing {
 namespace {
 
-// A client that reads only when the test says so.
-class PlainClient {
+// A client on a plain socket that reads only when told to.
+class SocketClient {
   public:
-    explicit PlainClient(int port, int receiveBuffer = 0)
+    explicit SocketClient(int port, int receiveBuffer = 0)
         : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
         if (receiveBuffer) setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &receiveBuffer, sizeof receiveBuffer);
-        sockaddr_in a{};
-        a.sin_family = AF_INET;
-        a.sin_port = htons(static_cast<std::uint16_t>(port));
-        a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-        EXPECT_EQ(connect(fd_, reinterpret_cast<sockaddr*>(&a), sizeof a), 0);
+        sockaddr_in address{};
+        address.sin_family = AF_INET;
+        address.sin_port = htons(static_cast<std::uint16_t>(port));
+        address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+        EXPECT_EQ(connect(fd_, reinterpret_cast<sockaddr*>(&address), sizeof address), 0);
     }
-    ~PlainClient() { hangUp(); }
+    ~SocketClient() { disconnect(); }
     void send(const std::string& text) {
         EXPECT_EQ(::send(fd_, text.data(), text.size(), MSG_NOSIGNAL), static_cast<ssize_t>(text.size()));
     }
     void halfClose() { shutdown(fd_, SHUT_WR); }
-    void hangUp() {
+    void disconnect() {
         if (fd_ >= 0) close(fd_);
         fd_ = -1;
     }
-    // Reads what is there. `ended`: an orderly end; `reset`: another.
+    // Reads what has arrived. Sets `ended` at the end of the stream and `reset` on an error.
     void read() {
         char buffer[65536];
         for (;;) {
@@ -66,28 +66,31 @@
     std::string text(const std::string& id, const std::string& timeout = "2400") {
         return requestText({.id = id, .timeout = timeout});
     }
-    bool seen(const std::string& id) const {
+    bool diskReceived(const std::string& id) const {
         for (const auto& t : disk->accepted)
             for (const auto& head : t->heads)
                 if (*head.find("X-Request-ID") == id) return true;
         return false;
     }
-    double stopAfterMs() const {
-        return stopPlan(parseConfiguration(configuration("127.0.0.1:1"), "f", {}).module.classes).closeFromMs;
+    double closeFromMs() const {
+        return shutdownPlan(
+                   parseConfiguration(configuration("127.0.0.1:1"), "f", {}).schedulerSettings.classes)
+            .closeFromMs;
     }
 };
 
-// Guards against requests that came behind the last answer of a connection and never got one.
+// Guards against pipelined requests that get no answer because the answer before them closes the connection
+// during a shutdown.
 TEST_F(CloseTest, WhatCameBehindAnOpenRequestIsAnsweredThoughTheSchedulerStops) {
     startUntilReady();
     AcceptedConnection* first = nullptr;
     disk->onRequest = [&](AcceptedConnection& t) { first ? t.send(okResponse("x")) : void(first = &t); };
-    PlainClient c(port);
+    SocketClient c(port);
     c.send(text("a"));
     ASSERT_TRUE(runLoopUntil([&] { return first != nullptr; }));
     c.send(text("b") + text("c"));
     daemon->stop();
-    runLoopFor(stopAfterMs() + 50);  // it drains now, and "a" is open
+    runLoopFor(closeFromMs() + 50);  // the server drains now, and "a" is still open
     first->send(okResponse("x"));
     ASSERT_TRUE(runLoopUntil([&] { return c.read(), c.ended || c.reset; }));
     EXPECT_EQ(c.answers(), 3);
@@ -95,12 +98,12 @@
     EXPECT_EQ(c.got.find("Connection: close"), c.got.rfind("Connection: close"));
 }
 
-// Guards against a resting connection that is closed over a request: it ends in order, and what is read after
-// the shutdown goes nowhere.
+// Guards against an idle connection that is reset while a request is on its way: it ends with a FIN, and a
+// request that arrives afterwards is not passed on.
 TEST_F(CloseTest, ARequestThatCrossesTheEndOfARestingConnectionGoesNowhereAndIsNotReset) {
     startUntilReady();
     serveAll();
-    PlainClient c(port);
+    SocketClient c(port);
     c.send(text("a"));
     ASSERT_TRUE(runLoopUntil([&] { return c.read(), c.answers() == 1; }));
     daemon->stop();
@@ -110,58 +113,60 @@
     runLoopFor(100);
     c.read();
     EXPECT_FALSE(c.reset);
-    EXPECT_FALSE(seen("late"));
+    EXPECT_FALSE(diskReceived("late"));
 }
 
-// Guards against an answer that a slow reader loses: the end is waited for from when it was written.
+// Guards against truncated answers to slow readers: the wait for the client's end of stream starts only once
+// the whole answer has been written.
 TEST_F(CloseTest, ASlowReaderGetsItsLastAnswerWhole) {
     startUntilReady();
     const std::string body(2000000, 'y');
     serveAll(body);
-    PlainClient c(port, 4096);
+    SocketClient c(port, 4096);
     auto request = text("a");
     c.send(request.insert(request.find("X-Plan"), "Connection: close\r\n"));
-    ASSERT_TRUE(runLoopUntil([&] { return seen("a"); }));
+    ASSERT_TRUE(runLoopUntil([&] { return diskReceived("a"); }));
     runLoopFor(1200);
     ASSERT_TRUE(runLoopUntil([&] { return c.read(), c.ended || c.reset; }, 4000));
     EXPECT_FALSE(c.reset);
     EXPECT_GT(c.got.size(), body.size());
 }
 
-// Guards against a client whose end is not noticed behind what it sent: closing and half-closing both mean
-// that it has gone (protocol page), and what waited for its first attempt is not sent on.
+// Guards against a client whose end of stream goes unnoticed behind many unread bytes. By the platform's
+// protocol a close and a half-close both mean that the client has gone; requests of it that wait for their
+// first attempt are not sent.
 TEST_F(CloseTest, AClientThatSendsMuchAndLeavesIsNotServed) {
     known = listJson(41, true, "");
     startUntilReady();
-    PlainClient flood(port), half(port), stays(port);
+    SocketClient flood(port), half(port), stays(port);
     flood.send(text("flood"));
     half.send(text("half"));
     stays.send(text("stays"));
     runLoopFor(20);
-    std::string much;
-    for (int i = 0; much.size() < 900000; ++i) much += text("behind-" + std::to_string(i));
-    for (std::size_t at = 0; at < much.size(); at += 50000) {
-        flood.send(much.substr(at, 50000));
+    std::string pipelined;
+    for (int i = 0; pipelined.size() < 900000; ++i) pipelined += text("behind-" + std::to_string(i));
+    for (std::size_t at = 0; at < pipelined.size(); at += 50000) {
+        flood.send(pipelined.substr(at, 50000));
         runLoopFor(2);
     }
-    flood.hangUp();
+    flood.disconnect();
     half.halfClose();
     runLoopFor(100);
     serveAll();
     discovery->last().send(lineChunk(listJson(43, false, memberJson("s-1", disk->address(), 0))));
     ASSERT_TRUE(runLoopUntil([&] { return stays.read(), stays.answers() == 1; }));
     runLoopFor(50);
-    EXPECT_FALSE(seen("flood"));
-    EXPECT_FALSE(seen("half"));
+    EXPECT_FALSE(diskReceived("flood"));
+    EXPECT_FALSE(diskReceived("half"));
     EXPECT_EQ(disk->requests(), 1u);
 }
 
-// A flood is answered by an end once what came before it is answered.
+// Too many bytes behind an open request: the request is answered, then the connection ends with an error.
 TEST_F(CloseTest, AFloodBehindAnOpenRequestEndsItsConnection) {
     startUntilReady();
     AcceptedConnection* first = nullptr;
     disk->onRequest = [&](AcceptedConnection& t) { first ? t.send(okResponse("x")) : void(first = &t); };
-    PlainClient c(port);
+    SocketClient c(port);
     c.send(text("a"));
     ASSERT_TRUE(runLoopUntil([&] { return first != nullptr; }));
     const std::string noise(50000, 'n');
@@ -176,7 +181,7 @@
     EXPECT_EQ(disk->requests(), 1u);
 }
 
-// However much comes behind it, an open request has its answer.
+// An open request is answered however many bytes follow it.
 TEST_F(CloseTest, AFloodWithoutEndDoesNotTakeTheOpenRequestAlong) {
     startUntilReady();
     AcceptedConnection* first = nullptr;
@@ -197,12 +202,12 @@
     EXPECT_EQ(disk->requests(), 1u);
 }
 
-// What waits behind an open request spends its own time meanwhile: its disk server is told what is left.
+// The time-out of a pipelined request runs while it waits: the disk server is told the remaining time.
 TEST_F(CloseTest, TheTimeOfWhatWaitsBehindRuns) {
     startUntilReady();
     AcceptedConnection* first = nullptr;
     disk->onRequest = [&](AcceptedConnection& t) { first ? t.send(okResponse("x")) : void(first = &t); };
-    PlainClient c(port);
+    SocketClient c(port);
     c.send(text("a") + text("b", "1000"));
     ASSERT_TRUE(runLoopUntil([&] { return first != nullptr; }));
     runLoopFor(300);
@@ -218,51 +223,52 @@
         }
 }
 
-// Guards against connections beyond the descriptors: where each place holds an open request, who comes waits
-// unanswered until one ends, and is not turned away.
+// Guards against more connections than descriptors: while every connection has an open request, a new client
+// waits in the backlog, neither answered nor refused, until one ends.
 TEST_F(CloseTest, WhoComesWhenEachPlaceIsOpenWaitsForOne) {
     sockets = 90;
     startUntilReady();
-    const auto places =
-        fronts::http::sharesOf(90).clients + 1;  // the one that finds none is taken, and no more
-    std::vector<std::unique_ptr<PlainClient>> open;
-    for (std::size_t i = 0; i < places; ++i) {
-        open.push_back(std::make_unique<PlainClient>(port));
+    const auto openConnections = fronts::http::splitDescriptors(90).clients +
+                                 1;  // one over the limit is accepted, then accepting pauses
+    std::vector<std::unique_ptr<SocketClient>> open;
+    for (std::size_t i = 0; i < openConnections; ++i) {
+        open.push_back(std::make_unique<SocketClient>(port));
         open.back()->send(requestText({.id = "o" + std::to_string(i),
                                        .timeout = "60000",
                                        .io = "volume=00000003b4d60021,units=2,shard=7,hosts=1"}));
         runLoopFor(5);
     }
-    PlainClient late(port);
+    SocketClient late(port);
     late.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
     runLoopFor(200);
     late.read();
     EXPECT_EQ(late.answers(), 0);
     EXPECT_FALSE(late.ended || late.reset);
-    open[0]->hangUp();
+    open[0]->disconnect();
     ASSERT_TRUE(runLoopUntil([&] { return late.read(), late.answers() == 1; }));
 }
 
-// Guards against a second word to stop that drops what is open: the end begins at once, and the answer comes.
+// Guards against a second stop that drops open requests: draining starts at once, and the answer still
+// arrives.
 TEST_F(CloseTest, ASecondWordToStopStillAnswersWhatIsOpen) {
     startUntilReady();
-    PlainClient open(port), rests(port);
+    SocketClient open(port), idle(port);
     open.send(text("a"));
-    ASSERT_TRUE(runLoopUntil([&] { return seen("a"); }));
+    ASSERT_TRUE(runLoopUntil([&] { return diskReceived("a"); }));
     daemon->stop();
     daemon->stop();
-    ASSERT_TRUE(runLoopUntil([&] { return rests.read(), rests.ended || rests.reset; }, 1500));
-    EXPECT_FALSE(rests.reset);
+    ASSERT_TRUE(runLoopUntil([&] { return idle.read(), idle.ended || idle.reset; }, 1500));
+    EXPECT_FALSE(idle.reset);
     EXPECT_EQ(open.answers(), 0);
     disk->last().send(okResponse("x"));
     ASSERT_TRUE(runLoopUntil([&] { return open.read(), open.ended || open.reset; }));
     EXPECT_EQ(open.answers(), 1);
 }
 
-// Guards against what is open at a planned stop and allows itself more time than the kill does.
+// Guards against requests that are open at a shutdown and whose own time-out ends after the kill.
 TEST_F(CloseTest, WhatIsOpenAtAStopHasItsAnswerBeforeTheKill) {
     startUntilReady();
-    PlainClient once(port), read(port);
+    SocketClient once(port), read(port);
     once.send(requestText({.method = "PUT",
                            .path = "/once",
                            .requestClass = "once",
@@ -270,11 +276,11 @@
                            .timeout = "9000",
                            .body = "b"}));
     read.send(requestText({.id = "b", .timeout = "9000"}));
-    ASSERT_TRUE(runLoopUntil([&] { return seen("a"); }));
+    ASSERT_TRUE(runLoopUntil([&] { return diskReceived("a"); }));
     daemon->stop();
     const double from = io::nowMs();
     ASSERT_TRUE(runLoopUntil([&] { return once.read(), once.answers() == 1; }, 4000));
-    EXPECT_NE(once.got.find("HTTP/1.1 502"), std::string::npos);  // it may be running
+    EXPECT_NE(once.got.find("HTTP/1.1 502"), std::string::npos);  // it may have been executed
     ASSERT_TRUE(runLoopUntil([&] { return read.read(), read.answers() == 1; }, 1000));
     EXPECT_LT(io::nowMs() - from, 2500 + 700 - 200);
 }
--- a/tests/gateway/platform_test.cpp
+++ b/tests/gateway/platform_test.cpp
@@ -1,4 +1,5 @@
-// The platform's protocol through sockets: clients in, disk servers out, discovery, stop.
+// The platform's protocol over real sockets: client requests, disk servers, discovery and shutdown; and unit
+// tests of the decisions and the configuration behind it.
 #include <unistd.h>
 
 #include <filesystem>
@@ -34,7 +35,7 @@
     disk->last().send(okResponse("answer"));
     ASSERT_TRUE(runLoopUntil([&] { return c->got.find("answer") != std::string::npos; }));
     EXPECT_EQ(c->status(), 200);
-    // Both connections are kept.
+    // Both connections are reused.
     runLoopFor(20);
     c->got.clear();
     c->send(requestText({.id = "b"}));
@@ -50,7 +51,7 @@
     disk->onRequest = [](AcceptedConnection& t) { t.send("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"); };
     c->send(requestText({.method = "PUT", .path = "/once", .requestClass = "once", .id = "a"}));
     ASSERT_TRUE(runLoopUntil([&] { return c->answered(); }));
-    EXPECT_EQ(c->status(), 502);  // it may have run
+    EXPECT_EQ(c->status(), 502);  // it may have been executed
     disk->onRequest = [](AcceptedConnection& t) { t.send(okResponse("x")); };
     std::vector<std::unique_ptr<Client>> many;
     for (int i = 0; i < 30; ++i) {
@@ -93,8 +94,8 @@
     EXPECT_EQ(n, 1);
 }
 
-// Guards against a keyed request that reaches its disk server without the key by which that knows repeats:
-// what isn't known here goes on, what belongs to the client's connection doesn't, and nothing is said twice.
+// Guards against a keyed request that reaches its disk server without the key by which the server recognises
+// repeats: unknown fields are forwarded, fields of the client's connection are not, and none is duplicated.
 TEST_F(PlatformTest, FieldsThatAreNotKnownHereGoOnToTheDiskServer) {
     startUntilReady();
     auto c = client();
@@ -109,7 +110,8 @@
     ASSERT_TRUE(head.find("Idempotency-Key") && head.find("X-Odd"));
     EXPECT_EQ(*head.find("Idempotency-Key"), "k-1");
     EXPECT_EQ(*head.find("X-Odd"), "two words");
-    for (const auto* own : {"X-Hop", "TE", "Connection", "Expect"}) EXPECT_FALSE(head.find(own)) << own;
+    for (const auto* dropped : {"X-Hop", "TE", "Connection", "Expect"})
+        EXPECT_FALSE(head.find(dropped)) << dropped;
     for (const auto* single : {"X-Request-ID", "X-Timeout-Ms", "Host", "Content-Length"}) {
         int n = 0;
         for (const auto& [name, value] : head.fields) n += wire::http::sameName(name, single);
@@ -117,8 +119,8 @@
     }
 }
 
-// Guards against an answer that reaches the next request: what a disk server says right after its answer, in
-// a piece of its own, finds nobody on the connection.
+// Guards against an answer that is given to the wrong request: bytes that a disk server sends right after its
+// answer, in a separate segment, must not answer the next request.
 TEST_F(PlatformTest, WhatComesRightAfterAnAnswerReachesNobody) {
     startUntilReady();
     auto c = client(), d = client();
@@ -163,7 +165,8 @@
     EXPECT_EQ(discovery->last().heads[0].target, "/v1/endpoints?stream=1&index=43");
 }
 
-// A moved discovery: the old watch is held until the new one speaks, and a bad file changes nothing.
+// Discovery moves to a new address: the old watch is kept until the new one has sent something. An invalid
+// file changes nothing.
 TEST_F(PlatformTest, ANewConfigurationMovesTheWatch) {
     known = listJson(41, true, "");
     startUntilReady();
@@ -183,8 +186,8 @@
     ASSERT_TRUE(runLoopUntil([&] { return disk->requests() == 1; }));
 }
 
-// Bad requests get a 4xx and their connection ends; nothing goes to a disk server. The good one goes through,
-// so that each refusal is for what was changed.
+// Invalid requests get a 4xx status, their connection ends and nothing is sent to a disk server. The
+// unmodified request succeeds, so each rejection is due to the modification.
 TEST_F(PlatformTest, WhatCantBeTakenGetsAnErrorAndGoesNowhere) {
     startUntilReady();
     const auto good = requestText({.id = "good"});
@@ -229,7 +232,7 @@
     auto c = client();
     c->send(good);
     ASSERT_TRUE(runLoopUntil([&] { return disk->requests() == 1; }));
-    // Its id is of an open request now: another one with it is an error, and the first goes on.
+    // Its id belongs to an open request now: a second request with it is rejected, and the first continues.
     auto d = client();
     d->send(good);
     ASSERT_TRUE(runLoopUntil([&] { return d->answered(); }));
@@ -239,7 +242,7 @@
     EXPECT_EQ(c->status(), 200);
 }
 
-// Any split of the bytes, and what comes behind an open request, waits for its turn.
+// Requests may be split at any byte and pipelined; they are answered in order.
 TEST_F(PlatformTest, RequestsComeInPiecesAndBehindEachOther) {
     startUntilReady();
     disk->onRequest = [](AcceptedConnection& t) { t.send(okResponse(*t.heads.back().find("X-Request-ID"))); };
@@ -256,7 +259,7 @@
     EXPECT_EQ(disk->requests(), 3u);
 }
 
-// Guards against taking a long answer for a spoilt one: disk servers send more than a message's 64 KiB.
+// Guards against rejecting a long answer: disk servers send more than the 64 KiB allowed for a request body.
 TEST_F(PlatformTest, ALongAnswerComesBackWhole) {
     startUntilReady();
     const std::string body(350000, 'y');
@@ -277,10 +280,10 @@
     EXPECT_TRUE(silent->got.empty());
 }
 
-// Answers that can't be used are failed attempts; good ones with a figure that can't be read are good.
+// Malformed answers count as failed attempts; valid answers with an unreadable numeric field count as served.
 TEST_F(PlatformTest, SpoiltAnswersFailAndOddFiguresAreGood) {
     startUntilReady();
-    const std::vector<std::string> spoilt = {
+    const std::vector<std::string> malformed = {
         "noise\r\n\r\n",
         "HTTP/1.1 200 OK\r\n" + std::string(20000, 'x'),
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + std::string(1000, 'x'),
@@ -289,7 +292,7 @@
         "HTTP/1.1 204 No Content\r\n\r\n",
     };
     int n = 0;
-    for (const auto& text : spoilt) {
+    for (const auto& text : malformed) {
         disk->onRequest = [&text](AcceptedConnection& t) { t.send(text); };
         auto c = client();
         c->send(requestText(
@@ -310,8 +313,8 @@
     }
 }
 
-// Guards against running out of descriptors: at the cap an idle connection to another node gives way, and
-// with none idle nothing is sent, which proves nothing against the node.
+// Guards against running out of descriptors: at the limit an idle connection to another node is closed. If
+// none is idle nothing is sent, and the outcome does not count against the node.
 TEST(Pool, ConnectionsToAllNodesTogetherAreBounded) {
     FakeServer a, b, c;
     nodes::PoolCaps caps;
@@ -338,8 +341,9 @@
     EXPECT_EQ(pool.connections(), 2u);
 }
 
-// Guards against requests that are lost on connections which the network dropped while they idled. Learned by
-// the time they idled, forgotten once it is over; a network that cuts all alike teaches nothing.
+// Guards against requests lost on connections that the network dropped while they were idle. The idle time
+// that connections survive is learned from failures and forgotten once they stop; failures that do not depend
+// on the idle time teach nothing.
 TEST(LinkTrust, ConnectionsThatIdledTooLongAreNotUsed) {
     nodes::LinkTrust trust;
     double now = 1000;
@@ -411,66 +415,69 @@
         parseConfiguration("{" + at + R"(,"limits":{"sockets":300},"settings":{"classes":[{"name":"a"},
         {"name":"b"}],"domain":{"class-writes":[false,true]},"ceilings":{"max-open":20000}}})",
                            "f", {});
-    ASSERT_EQ(c.module.classes.size(), 2u);
-    EXPECT_TRUE(c.module.classes[1].writes);
-    EXPECT_EQ(c.module.maxOpen, 100);
+    ASSERT_EQ(c.schedulerSettings.classes.size(), 2u);
+    EXPECT_TRUE(c.schedulerSettings.classes[1].writes);
+    EXPECT_EQ(c.schedulerSettings.maxOpen, 100);
 }
 
-// Guards against connections that asked once and stay: they close after a while, and where connections run
-// short an answer ends its own. One with an open request is never closed for room.
+// Guards against clients that send one request and then hold their connection: idle connections are closed
+// after a while, and when capacity is exhausted each answer closes its connection. A connection with an open
+// request is never closed to make room.
 TEST(Connections, WhoAsksHasPlace) {
     using namespace fronts::http;
     ConnectionState idle{ConnectionState::Phase::Idle, 1000}, open{ConnectionState::Phase::Open, 0},
         silent{ConnectionState::Phase::Silent, 500};
-    for (const auto room : {Room::Short, Room::None}) {
-        EXPECT_EQ(decide(idle, room, false, 2900).action, Do::Keep);  // the platform asks for 2 s at least
-        EXPECT_EQ(decide(idle, room, false, 3300).action, Do::Leave);
+    for (const auto capacity : {Capacity::Short, Capacity::Exhausted}) {
+        EXPECT_EQ(decide(idle, capacity, false, 2900).action,
+                  CloseAction::Keep);  // the platform requires at least 2 s
+        EXPECT_EQ(decide(idle, capacity, false, 3300).action, CloseAction::ShutDown);
     }
-    EXPECT_EQ(decide(idle, Room::Plenty, false, 15000).action, Do::Keep);
-    const ConnectionState written{ConnectionState::Phase::Leaving, 3000, false, 3100},
-        unwritten{ConnectionState::Phase::Leaving, 0};
+    EXPECT_EQ(decide(idle, Capacity::Ample, false, 15000).action, CloseAction::Keep);
+    const ConnectionState flushed{ConnectionState::Phase::Closing, 3000, false, 3100},
+        unflushed{ConnectionState::Phase::Closing, 0};
     ConnectionState unread = idle;
     unread.unread = true;
-    for (const auto room : {Room::Plenty, Room::None}) {
-        EXPECT_EQ(decide(open, room, true, 1e9).action, Do::Keep);
-        EXPECT_EQ(decide(silent, room, false, 500 + 2900).action, Do::Leave);
-        EXPECT_EQ(decide({ConnectionState::Phase::Speaking, 0}, room, false, 2900).action, Do::TellAndLeave);
-        // One that has been read before may write slowly, as long as something comes.
-        ConnectionState slow{ConnectionState::Phase::Speaking, 0, false};
+    for (const auto capacity : {Capacity::Ample, Capacity::Exhausted}) {
+        EXPECT_EQ(decide(open, capacity, true, 1e9).action, CloseAction::Keep);
+        EXPECT_EQ(decide(silent, capacity, false, 500 + 2900).action, CloseAction::ShutDown);
+        EXPECT_EQ(decide({ConnectionState::Phase::Receiving, 0}, capacity, false, 2900).action,
+                  CloseAction::ErrorThenShutDown);
+        // After the first request a client may send slowly as long as it makes progress.
+        ConnectionState slow{ConnectionState::Phase::Receiving, 0, false};
         slow.lastByteAt = 4000;
-        EXPECT_EQ(decide(slow, room, false, 5000).action, Do::Keep);
-        EXPECT_EQ(decide(slow, room, false, 6900).action, Do::TellAndLeave);
+        EXPECT_EQ(decide(slow, capacity, false, 5000).action, CloseAction::Keep);
+        EXPECT_EQ(decide(slow, capacity, false, 6900).action, CloseAction::ErrorThenShutDown);
         slow.lastByteAt = 1000;
-        EXPECT_EQ(decide(slow, room, false, 3300).action, Do::Keep);
-        EXPECT_EQ(decide(slow, room, false, 3800).action, Do::TellAndLeave);
+        EXPECT_EQ(decide(slow, capacity, false, 3300).action, CloseAction::Keep);
+        EXPECT_EQ(decide(slow, capacity, false, 3800).action, CloseAction::ErrorThenShutDown);
         slow.lastByteAt = 6400;
-        EXPECT_EQ(decide(slow, room, false, 6500).action, Do::TellAndLeave);
-        // A request that waits in the socket is read before its connection is ended.
-        EXPECT_EQ(decide(unread, room, true, 1e9).action, Do::Keep);
-        EXPECT_EQ(decide(idle, room, true, 1001).action, Do::Leave);
-        EXPECT_EQ(decide(written, room, false, 3400).action, Do::Keep);
-        EXPECT_EQ(decide(written, room, false, 3700).action, Do::Close);
-        EXPECT_EQ(decide(unwritten, room, false, 3700).action, Do::Keep);  // a slow reader
-        EXPECT_EQ(decide(unwritten, room, false, 6000).action, Do::Close);
+        EXPECT_EQ(decide(slow, capacity, false, 6500).action, CloseAction::ErrorThenShutDown);
+        // A request waiting in the socket is read before its connection is closed.
+        EXPECT_EQ(decide(unread, capacity, true, 1e9).action, CloseAction::Keep);
+        EXPECT_EQ(decide(idle, capacity, true, 1001).action, CloseAction::ShutDown);
+        EXPECT_EQ(decide(flushed, capacity, false, 3400).action, CloseAction::Keep);
+        EXPECT_EQ(decide(flushed, capacity, false, 3700).action, CloseAction::Close);
+        EXPECT_EQ(decide(unflushed, capacity, false, 3700).action, CloseAction::Keep);  // a slow reader
+        EXPECT_EQ(decide(unflushed, capacity, false, 6000).action, CloseAction::Close);
     }
-    EXPECT_TRUE(goesBefore(silent, idle));
-    EXPECT_TRUE(goesBefore(written, silent));
-    EXPECT_TRUE(goesBefore(idle, unread));
-    EXPECT_TRUE(goesBefore(unread, unwritten));
+    EXPECT_TRUE(evictedBefore(silent, idle));
+    EXPECT_TRUE(evictedBefore(flushed, silent));
+    EXPECT_TRUE(evictedBefore(idle, unread));
+    EXPECT_TRUE(evictedBefore(unread, unflushed));
     for (const std::size_t all : {256u, 1024u}) {
-        EXPECT_EQ(roomOf(all / 9, all), Room::Plenty);
-        EXPECT_EQ(roomOf(all / 4, all), Room::Short);
-        EXPECT_EQ(roomOf(all * 3 / 10, all), Room::None);
-        const auto shares = sharesOf(all);
-        EXPECT_GE(shares.clients, all / 3 + 16);  // beside the usual clients there are others
+        EXPECT_EQ(capacityOf(all / 9, all), Capacity::Ample);
+        EXPECT_EQ(capacityOf(all / 4, all), Capacity::Short);
+        EXPECT_EQ(capacityOf(all * 3 / 10, all), Capacity::Exhausted);
+        const auto shares = splitDescriptors(all);
+        EXPECT_GE(shares.clients, all / 3 + 16);  // there are other clients besides the usual ones
         EXPECT_LE(shares.clients + shares.nodes, all - 16);
     }
 }
 
-// Guards against clients left without a connection: where places run out an answer ends its own; but a
-// scheduler that was told to stop gets no new ones, and keeps those it has.
+// Guards against clients that find no connection: when capacity is exhausted an answer closes its connection.
+// A scheduler that is shutting down gets no new connections and keeps the ones it has.
 TEST_F(PlatformTest, AnswersEndConnectionsWherePlacesRunOutButNotWhileItStops) {
-    sockets = 90;  // clients hold 30
+    sockets = 90;  // 30 for clients
     startUntilReady();
     disk->onRequest = [](AcceptedConnection& t) { t.send(okResponse("x")); };
     std::vector<std::unique_ptr<Client>> clients;
@@ -495,7 +502,7 @@
     RequestClass c;
     for (const double deadline : {500.0, 2500.0, 7500.0}) {
         c.deadlineMs = deadline;
-        const auto plan = stopPlan({c});
+        const auto plan = shutdownPlan({c});
         const double kill = std::min(deadline, 3000.0) + 700;
         EXPECT_GE(plan.closeFromMs, 700) << deadline;
         if (deadline >= 2500) {
@@ -506,14 +513,14 @@
     }
 }
 
-// Settings whose longest deadline is short are killed early. What came 1.0 s after a SIGTERM was still open
-// at the kill 1.4 s after it (soak, seed 15: deadlines up to 700 ms), for the answers' time was never
-// under 1.4 s.
+// With short deadlines the kill comes early. With deadlines up to 700 ms (soak, seed 15) a request that
+// arrived 1.0 s after the SIGTERM was still open at the kill 1.4 s after it, because answerByMs was never
+// less than 1.4 s.
 TEST(StopPlan, NothingIsLeftForTheKillHoweverShortTheDeadlines) {
     RequestClass c;
     for (const double deadline : {0.0, 50.0, 300.0, 450.0, 700.0, 900.0, 1200.0, 3000.0, 9000.0}) {
         c.deadlineMs = deadline;
-        const auto plan = stopPlan({c});
+        const auto plan = shutdownPlan({c});
         const double kill = std::min(deadline, 3000.0) + 700;
         EXPECT_LE(plan.answerByMs, kill - 400) << deadline;
         EXPECT_LE(plan.closeFromMs, plan.answerByMs) << deadline;
@@ -521,8 +528,8 @@
     }
 }
 
-// Guards against clients that have no other scheduler losing theirs before it has to go: a kept connection is
-// served for seconds after the word to stop, with less time than its client would give.
+// Guards against closing connections earlier than necessary during a shutdown, as some clients have no other
+// scheduler: kept connections are served for seconds after the stop, with the clients' time-outs shortened.
 TEST_F(PlatformTest, AStoppingSchedulerServesKeptConnectionsUntilItHasToGo) {
     startUntilReady();
     disk->onRequest = [](AcceptedConnection& t) { t.send(okResponse("x")); };
