--- a/tests/gateway/platform_orders_test.cpp
+++ b/tests/gateway/platform_orders_test.cpp
@@ -1,6 +1,7 @@
-// Random orders of everything that can happen to one scheduler, by seed: clients that ask in pieces, behind
-// each other and leave; disk servers that serve, refuse, break off, hang, drain, go and return; lists and
-// moves of the list service; the word to stop. The rules are judged by what the clients and disk servers saw.
+// Random event orders for one scheduler, by seed: clients that send requests in pieces, pipeline them and
+// leave; disk servers that serve, refuse, abort, hang, drain and are replaced; changes of the node list and
+// moves of the list service; the shutdown. The rules are checked against what the clients and the disk
+// servers observed.
 #include <cstdlib>
 #include <random>
 #include <set>
@@ -10,22 +11,23 @@
 namespace spokewheel::platform::testing {
 namespace {
 
-// A drain counts as told when it is written, watch open or not, and a watch may just have been reset: half of
-// the settings' grace of 2 s has to do for a new one.
-constexpr double kGraceMs = 1000, kLeftMs = 100, kLateMs = 500;
+// How long a drain, the departure of a client and the end of a request's time-out may go unnoticed. A drain
+// counts as known when it is written to the watch, even if the watch is not open. It may just have been
+// reset, so half of the settings' grace of 2 s must suffice for a new watch to deliver it.
+constexpr double kDrainGraceMs = 1000, kClientGoneGraceMs = 100, kAnswerGraceMs = 500;
 
-struct Asked {
+struct SentRequest {
     std::string id;
-    bool once = false, left = false;
-    double at = 0, leftAt = 0, ttl = 0;
+    bool once = false, abandoned = false;
+    double sentAt = 0, abandonedAt = 0, ttlMs = 0;
 };
 
-struct Talker {
-    explicit Talker(int port) : client(port) {}
+struct RandomClient {
+    explicit RandomClient(int port) : client(port) {}
     Client client;
-    std::vector<Asked> asked;  // in order
-    std::string unsaid;        // of a request that is written in pieces
-    bool stopped = false;
+    std::vector<SentRequest> requests;  // in order
+    std::string unsent;                 // rest of a request that is sent in pieces
+    bool left = false;
 };
 
 class Orders : public PlatformTest, public ::testing::WithParamInterface<unsigned> {
@@ -35,7 +37,7 @@
         std::string id;
         int cell = 0;
         bool drained = false;
-        double toldAt = 0;
+        double drainAnnouncedAt = 0;
     };
     int draw(int n) { return static_cast<int>(random_() % static_cast<unsigned>(n)); }
 
@@ -45,40 +47,41 @@
         d->id = "s-" + std::to_string(disks_.size());
         d->cell = cell;
         disks_.push_back(d);
-        d->server->onRequest = [this, d = d.get()](AcceptedConnection& t) { arrived(*d, t); };
+        d->server->onRequest = [this, d = d.get()](AcceptedConnection& t) { onDiskRequest(*d, t); };
     }
-    void arrived(Disk& d, AcceptedConnection& t) {
+    void onDiskRequest(Disk& d, AcceptedConnection& t) {
         const auto id = *t.heads.back().find("X-Request-ID");
         const double now = io::nowMs();
-        if (d.drained && now > d.toldAt + kGraceMs) wrong("sent to a drained node: " + id);
-        for (const auto& talker : talkers_)
-            for (const auto& a : talker->asked)
-                if (a.id == id && a.left && now > a.leftAt + kLeftMs)
-                    wrong("sent after its client had gone: " + id);
+        if (d.drained && now > d.drainAnnouncedAt + kDrainGraceMs)
+            reportViolation("sent to a drained node: " + id);
+        for (const auto& randomClient : clients_)
+            for (const auto& a : randomClient->requests)
+                if (a.id == id && a.abandoned && now > a.abandonedAt + kClientGoneGraceMs)
+                    reportViolation("sent after its client had gone: " + id);
         switch (draw(12)) {
             case 0:
                 return t.send("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n");
             case 1:
-                return ++runs_[id], t.send("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
+                return ++executions_[id], t.send("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
             case 2:
-                return ++runs_[id], t.connection->reset();
+                return ++executions_[id], t.connection->reset();
             case 3:
-                return ++runs_[id], t.connection->close();
+                return ++executions_[id], t.connection->close();
             case 4:
-                ++runs_[id];
+                ++executions_[id];
                 t.send("HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nhalf");
                 return t.connection->reset();
             case 5:
-                ++runs_[id];
+                ++executions_[id];
                 t.send("HTTP/1.1 200 OK\r\n\r\n" + id);
                 return t.connection->shutdownWrite();
             case 6:
-                return void(++runs_[id]);  // hangs
+                return void(++executions_[id]);  // hangs
             case 7:
-                ++runs_[id];
+                ++executions_[id];
                 return t.send("noise\r\n\r\n");
             default:
-                ++runs_[id];
+                ++executions_[id];
                 return t.send(okResponse(id));
         }
     }
@@ -89,98 +92,105 @@
                 out += (out.empty() ? "" : ",") + memberJson(d->id, d->server->address(), d->cell);
         return out;
     }
-    void tell(const std::string& list) {
-        for (auto& place : places_)
-            if (place->lastActive && !place->lastActive->closed) place->last().send(lineChunk(list));
+    void announce(const std::string& list) {
+        for (auto& server : discoveryServers_)
+            if (server->lastActive && !server->lastActive->closed) server->last().send(lineChunk(list));
     }
-    void openPlace() {
-        places_.push_back(std::make_unique<FakeServer>());
-        places_.back()->onRequest = [this](AcceptedConnection& t) {
+    void addDiscoveryServer() {
+        discoveryServers_.push_back(std::make_unique<FakeServer>());
+        discoveryServers_.back()->onRequest = [this](AcceptedConnection& t) {
             t.send(std::string(kWatchResponseHead) + lineChunk(listJson(revision_, true, members())));
         };
     }
-    std::string next(Talker& t) {
-        Asked a;
-        a.id = "q" + std::to_string(++asked_);
+    std::string nextRequest(RandomClient& t) {
+        SentRequest a;
+        a.id = "q" + std::to_string(++requestCount_);
         a.once = draw(2);
-        a.ttl = 200 + draw(700);
-        a.at = io::nowMs();
-        t.asked.push_back(a);
+        a.ttlMs = 200 + draw(700);
+        a.sentAt = io::nowMs();
+        t.requests.push_back(a);
         return requestText(
             {.method = a.once ? "PUT" : "GET",
              .path = a.once ? "/once" : "/read",
              .requestClass = a.once ? "once" : "read",
              .id = a.id,
-             .timeout = std::to_string(static_cast<int>(a.ttl)),
+             .timeout = std::to_string(static_cast<int>(a.ttlMs)),
              .io = "volume=00000003b4d60021,units=2,shard=" + std::to_string(draw(3)) + ",hosts=1",
              .body = a.once ? std::string(static_cast<std::size_t>(draw(2000)), 'b') : ""});
     }
-    void act() {
-        const int what = draw(24);
-        if (what < 2 && talkers_.size() < 40) return talkers_.push_back(std::make_unique<Talker>(port));
-        if (what < 16) {
-            if (talkers_.empty()) return;
-            auto& t = *talkers_[static_cast<std::size_t>(draw(static_cast<int>(talkers_.size())))];
-            if (t.stopped || t.client.closed) return;
-            if (!t.unsaid.empty()) {
+    void randomStep() {
+        const int action = draw(24);
+        if (action < 2 && clients_.size() < 40)
+            return clients_.push_back(std::make_unique<RandomClient>(port));
+        if (action < 16) {
+            if (clients_.empty()) return;
+            auto& t = *clients_[static_cast<std::size_t>(draw(static_cast<int>(clients_.size())))];
+            if (t.left || t.client.closed) return;
+            if (!t.unsent.empty()) {
                 const auto n =
-                    std::min<std::size_t>(t.unsaid.size(), static_cast<std::size_t>(1 + draw(400)));
-                t.client.send(t.unsaid.substr(0, n));
-                t.unsaid.erase(0, n);
-                if (t.unsaid.empty()) t.asked.back().at = io::nowMs();  // its time counts from its last byte
-            } else if (what < 13) {
-                t.client.send(next(t));
-                if (draw(6) == 0) t.client.send(next(t));
-            } else if (what == 13) t.unsaid = next(t);
-            else if (what == 14) {
-                for (auto& a : t.asked) a.left = true, a.leftAt = io::nowMs();
+                    std::min<std::size_t>(t.unsent.size(), static_cast<std::size_t>(1 + draw(400)));
+                t.client.send(t.unsent.substr(0, n));
+                t.unsent.erase(0, n);
+                if (t.unsent.empty())
+                    t.requests.back().sentAt = io::nowMs();  // its time-out counts from its last byte
+            } else if (action < 13) {
+                t.client.send(nextRequest(t));
+                if (draw(6) == 0) t.client.send(nextRequest(t));
+            } else if (action == 13) t.unsent = nextRequest(t);
+            else if (action == 14) {
+                for (auto& a : t.requests) a.abandoned = true, a.abandonedAt = io::nowMs();
                 t.client.connection->close();
-                t.stopped = true;
+                t.left = true;
             }
             return;
         }
-        if (what < 18) {  // a disk server drains, another takes its cell
+        if (action < 18) {  // a disk server drains and another one takes over its cell
             auto& d = *disks_[static_cast<std::size_t>(draw(static_cast<int>(disks_.size())))];
             if (d.drained || disks_.size() > 12) return;
             d.drained = true;
-            d.toldAt = io::nowMs();
+            d.drainAnnouncedAt = io::nowMs();
             addDisk(d.cell);
             ++revision_;
-            // Its successor is told with it or some time later: meanwhile the requests of the cell wait.
+            // The successor is listed with the drain or some time later; until then the cell's requests wait.
             const auto& added = *disks_.back();
             const auto gone = memberJson(d.id, d.server->address(), d.cell, draw(2) ? "draining" : "removed");
             const auto successor = memberJson(added.id, added.server->address(), added.cell);
-            if (draw(2)) return tell(listJson(revision_, false, gone + "," + successor));
-            later_.push_back(successor);
-            return tell(listJson(revision_, false, gone));
+            if (draw(2)) return announce(listJson(revision_, false, gone + "," + successor));
+            unlistedSuccessors_.push_back(successor);
+            return announce(listJson(revision_, false, gone));
         }
-        if (what > 20 && !later_.empty()) {
-            tell(listJson(++revision_, false, later_.front()));
-            return void(later_.erase(later_.begin()));
+        if (action > 20 && !unlistedSuccessors_.empty()) {
+            announce(listJson(++revision_, false, unlistedSuccessors_.front()));
+            return void(unlistedSuccessors_.erase(unlistedSuccessors_.begin()));
         }
-        if (what == 18 && places_.size() < 3) {  // the list service moves
-            openPlace();
-            write(configuration(places_.back()->address()));
+        if (action == 18 && discoveryServers_.size() < 3) {  // the list service moves
+            addDiscoveryServer();
+            write(configuration(discoveryServers_.back()->address()));
             return daemon->reload();
         }
-        if (what == 19 && places_.back()->lastActive) return places_.back()->last().connection->reset();
-        if (what == 20) return tell("");
+        if (action == 19 && discoveryServers_.back()->lastActive)
+            return discoveryServers_.back()->last().connection->reset();
+        if (action == 20) return announce("");
+    }
+    void reportViolation(const std::string& message) {
+        ADD_FAILURE() << "seed " << GetParam() << ": " << message;
     }
-    void wrong(const std::string& words) { ADD_FAILURE() << "seed " << GetParam() << ": " << words; }
 
-    // Each request that a client still waits for has one answer in time, and one that may be believed.
-    void judge(bool stopped) {
-        for (const auto& talker : talkers_) {
-            const auto& got = talker->client.got;
+    // Checks that each request whose client still waits got exactly one timely and truthful answer, and that
+    // no `once` request was executed twice.
+    void checkAnswers(bool stopped) {
+        for (const auto& randomClient : clients_) {
+            const auto& got = randomClient->client.got;
             std::size_t at = 0, n = 0;
-            for (const auto& a : talker->asked) {
-                if (a.once && runs_[a.id] > 1) wrong("ran twice: " + a.id);
-                if (talker->stopped) continue;
-                const bool said = talker->unsaid.empty() || &a != &talker->asked.back();
+            for (const auto& a : randomClient->requests) {
+                if (a.once && executions_[a.id] > 1) reportViolation("ran twice: " + a.id);
+                if (randomClient->left) continue;
+                const bool fullySent = randomClient->unsent.empty() || &a != &randomClient->requests.back();
                 const auto from = got.find("HTTP/1.1 ", at);
                 if (from == got.npos) {
-                    // A connection that rested when it was ended answers nothing that came after.
-                    if (said && !(stopped && talker->client.closed)) wrong("no answer: " + a.id);
+                    // A request that arrives after its idle connection was closed gets no answer.
+                    if (fullySent && !(stopped && randomClient->client.closed))
+                        reportViolation("no answer: " + a.id);
                     continue;
                 }
                 ++n;
@@ -188,56 +198,58 @@
                 const int status = std::stoi(got.substr(at, 3));
                 const auto end = std::min(got.find("HTTP/1.1 ", at), got.size());
                 if (status == 200 && got.substr(at, end - at).find("\r\n\r\n" + a.id) == got.npos)
-                    wrong("served with another's answer: " + a.id);
-                if (status == 503 && a.once && runs_[a.id] > 0) wrong("refused though it ran: " + a.id);
+                    reportViolation("served with another's answer: " + a.id);
+                if (status == 503 && a.once && executions_[a.id] > 0)
+                    reportViolation("refused though it ran: " + a.id);
             }
-            if (got.find("HTTP/1.1 ", at) != got.npos && n == talker->asked.size() && !talker->asked.empty())
-                wrong("more answers than requests");
+            if (got.find("HTTP/1.1 ", at) != got.npos && n == randomClient->requests.size() &&
+                !randomClient->requests.empty())
+                reportViolation("more answers than requests");
         }
     }
 
     std::mt19937 random_{GetParam()};
     std::vector<std::shared_ptr<Disk>> disks_;
-    std::vector<std::unique_ptr<FakeServer>> places_;
-    std::vector<std::unique_ptr<Talker>> talkers_;
-    std::map<std::string, int> runs_;
-    std::vector<std::string> later_;
-    int revision_ = 41, asked_ = 0;
+    std::vector<std::unique_ptr<FakeServer>> discoveryServers_;
+    std::vector<std::unique_ptr<RandomClient>> clients_;
+    std::map<std::string, int> executions_;
+    std::vector<std::string> unlistedSuccessors_;
+    int revision_ = 41, requestCount_ = 0;
 };
 
 TEST_P(Orders, KeepTheRules) {
     for (int cell = 0; cell < 3; ++cell) addDisk(cell);
-    openPlace();
+    addDiscoveryServer();
     known = listJson(1, true, "");
-    write(configuration(places_[0]->address()));
+    write(configuration(discoveryServers_[0]->address()));
     daemon = std::make_unique<PlatformDaemon>(file, Environment{}, loop);
     ASSERT_TRUE(runLoopUntil([&] { return readyStatus() == 200; }));
     for (const double until = io::nowMs() + 1500; io::nowMs() < until;) {
-        act();
+        randomStep();
         runLoopFor(draw(6));
     }
-    // All that was asked has its answer by its time and a little.
+    // Every request must be answered shortly after its time-out at the latest.
     ASSERT_TRUE(runLoopUntil(
         [&] {
             double last = 0;
-            for (const auto& t : talkers_)
-                for (const auto& a : t->asked) last = std::max(last, a.at + a.ttl);
-            return io::nowMs() > last + kLateMs;
+            for (const auto& t : clients_)
+                for (const auto& a : t->requests) last = std::max(last, a.sentAt + a.ttlMs);
+            return io::nowMs() > last + kAnswerGraceMs;
         },
         4000));
-    judge(false);
+    checkAnswers(false);
     daemon->stop();
     for (const double until = io::nowMs() + 2700; io::nowMs() < until;) {
-        act();
+        randomStep();
         runLoopFor(draw(6));
     }
-    runLoopFor(350);  // the kill comes 3,200 ms after the word
-    judge(true);
+    runLoopFor(350);  // the kill comes 3200 ms after the stop
+    checkAnswers(true);
 }
 
 unsigned seeds() {
-    const char* many = std::getenv("SPOKEWHEEL_SEEDS");
-    return many ? static_cast<unsigned>(std::atoi(many)) : 3;
+    const char* count = std::getenv("SPOKEWHEEL_SEEDS");
+    return count ? static_cast<unsigned>(std::atoi(count)) : 3;
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, Orders, ::testing::Range(1u, 1 + seeds()));
 
--- a/tests/gateway/platform_support.hpp
+++ b/tests/gateway/platform_support.hpp
@@ -1,5 +1,5 @@
-// One scheduler of the platform in the test's own loop, with a disk server, discovery and clients made by
-// hand: each does what the test says and nothing else.
+// Test fixture: a platform scheduler on the test's event loop, with a fake disk server, discovery service and
+// clients that do only what the test tells them.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
 
 namespace spokewheel::platform::testing {
 
-// Turns the loop until the condition holds; false after `ms`.
+// Runs the event loop until the condition holds; returns false if it does not within `ms`.
 template <class Condition>
 bool runLoopUntil(Condition condition, double ms = 3000) {
     for (const double until = io::nowMs() + ms; !condition();) {
@@ -35,7 +35,7 @@
     return listener.port();
 }
 
-// What came on one accepted connection.
+// An accepted connection with the requests received on it.
 struct AcceptedConnection {
     std::shared_ptr<io::Connection> connection;
     wire::http::Parser parser{wire::http::Parser::Kind::Request};
@@ -49,7 +49,7 @@
     }
 };
 
-// Accepts, reads requests and keeps them. Answers only where the test says so.
+// Accepts connections and records the requests. Answers only through onRequest or the test itself.
 class FakeServer {
   public:
     explicit FakeServer(int port = 0)
@@ -68,9 +68,10 @@
         for (const auto& t : accepted) n += t->heads.size();
         return n;
     }
+    // The connection that received the latest request; there must be one.
     AcceptedConnection& last() { return *lastActive; }
     std::vector<std::shared_ptr<AcceptedConnection>> accepted;
-    AcceptedConnection* lastActive = nullptr;  // on which a request came last
+    AcceptedConnection* lastActive = nullptr;
     std::function<void(AcceptedConnection&)> onRequest;
 
   private:
@@ -97,7 +98,7 @@
     io::Listener listener_;
 };
 
-// A client's connection: writes bytes, keeps what comes back.
+// A client connection that records all bytes received.
 struct Client {
     explicit Client(int port) {
         connection = io::Connection::dial({"127.0.0.1", port});
@@ -111,7 +112,7 @@
         connection->write(bytes);
         connection->flush();
     }
-    // The status of the last answer that has begun; 0: none.
+    // The status of the latest answer, complete or not; 0 if there is none.
     int status() const {
         const auto at = got.rfind("HTTP/1.1 ");
         return at == got.npos || got.size() < at + 12 ? 0 : std::stoi(got.substr(at + 9, 3));
@@ -158,7 +159,7 @@
 inline std::string lineChunk(const std::string& line) { return httpChunk(line + "\n"); }
 constexpr const char* kWatchResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-// A scheduler with one disk server, in cell 0.
+// A scheduler with one disk server, in cell 0. No test may violate an invariant.
 class PlatformTest : public ::testing::Test {
   protected:
     void SetUp() override {
@@ -182,7 +183,7 @@
         write(configuration(discovery->address()));
         daemon = std::make_unique<PlatformDaemon>(file, Environment{}, loop);
     }
-    // Raised, and its list service has said that nothing changed: it is ready.
+    // Starts the daemon, reports "no change" from the discovery service and waits until it is ready.
     void startUntilReady() {
         startDaemon();
         ASSERT_TRUE(runLoopUntil([&] { return discovery->requests() == 1; }));
--- a/tests/gateway/stalled_listener.hpp
+++ b/tests/gateway/stalled_listener.hpp
@@ -1,5 +1,5 @@
-// A disk server whose door can be held shut: connections to it come up only once the test lets them in. The
-// kernel drops what asks while the queue of connections not yet taken is full, and the caller asks again.
+// A disk server whose backlog is full: connections to it are established only once the test accepts them.
+// While the backlog is full the kernel drops SYN packets, and the client's kernel retransmits them.
 #pragma once
 
 #include <arpa/inet.h>
@@ -15,63 +15,65 @@
 
 class StalledListener {
   public:
-    StalledListener() : door_(make()) {
-        sockaddr_in a{};
-        a.sin_family = AF_INET;
-        a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-        EXPECT_EQ(bind(door_, reinterpret_cast<sockaddr*>(&a), sizeof a), 0);
-        EXPECT_EQ(listen(door_, 0), 0);
-        socklen_t n = sizeof at_;
-        EXPECT_EQ(getsockname(door_, reinterpret_cast<sockaddr*>(&at_), &n), 0);
-        // The queue holds one; the second of these waits outside like all that come after it.
+    StalledListener() : listener_(createSocket()) {
+        sockaddr_in loopback{};
+        loopback.sin_family = AF_INET;
+        loopback.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+        EXPECT_EQ(bind(listener_, reinterpret_cast<sockaddr*>(&loopback), sizeof loopback), 0);
+        EXPECT_EQ(listen(listener_, 0), 0);
+        socklen_t length = sizeof address_;
+        EXPECT_EQ(getsockname(listener_, reinterpret_cast<sockaddr*>(&address_), &length), 0);
+        // The backlog holds one connection; the second of these already fails to connect, like all later
+        // ones.
         for (int i = 0; i < 2; ++i) {
-            fillers_.push_back(make());
-            connect(fillers_.back(), reinterpret_cast<sockaddr*>(&at_), sizeof at_);
+            backlogFillers_.push_back(createSocket());
+            connect(backlogFillers_.back(), reinterpret_cast<sockaddr*>(&address_), sizeof address_);
         }
     }
     ~StalledListener() {
-        for (const int fd : fillers_) close(fd);
-        for (const auto& p : peers_) close(p.fd);
-        close(door_);
+        for (const int fd : backlogFillers_) close(fd);
+        for (const auto& c : connections_) close(c.fd);
+        close(listener_);
     }
     StalledListener(const StalledListener&) = delete;
     StalledListener& operator=(const StalledListener&) = delete;
-    std::string address() const { return "127.0.0.1:" + std::to_string(ntohs(at_.sin_port)); }
-    // Takes who has come meanwhile, and from now on whoever comes; call again and again.
+    std::string address() const { return "127.0.0.1:" + std::to_string(ntohs(address_.sin_port)); }
+    // Accepts all waiting connections and reads what they have received. To be called repeatedly, as the
+    // backlog fills again.
     void acceptConnections() {
-        for (int fd; (fd = accept4(door_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0;)
-            peers_.push_back({fd, {}});
-        for (auto& p : peers_) {
+        for (int fd; (fd = accept4(listener_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0;)
+            connections_.push_back({fd, {}});
+        for (auto& c : connections_) {
             char buffer[65536];
-            for (ssize_t n; (n = recv(p.fd, buffer, sizeof buffer, 0)) > 0;)
-                p.got.append(buffer, static_cast<std::size_t>(n));
+            for (ssize_t n; (n = recv(c.fd, buffer, sizeof buffer, 0)) > 0;)
+                c.received.append(buffer, static_cast<std::size_t>(n));
         }
     }
-    // Whether any byte of a request with this id has come.
+    // Whether a request with this id has been received, even in part.
     bool received(const std::string& id) const {
-        for (const auto& p : peers_)
-            if (p.got.find("X-Request-ID: " + id + "\r\n") != std::string::npos) return true;
+        for (const auto& c : connections_)
+            if (c.received.find("X-Request-ID: " + id + "\r\n") != std::string::npos) return true;
         return false;
     }
-    // Answers each connection on which a whole head has come.
+    // Answers on each connection that has received a complete head.
     void answerAll(const std::string& text) {
-        for (auto& p : peers_)
-            if (p.got.find("\r\n\r\n") != std::string::npos) {
-                EXPECT_GT(::send(p.fd, text.data(), text.size(), MSG_NOSIGNAL), 0);
-                p.got.clear();
+        for (auto& c : connections_)
+            if (c.received.find("\r\n\r\n") != std::string::npos) {
+                EXPECT_GT(::send(c.fd, text.data(), text.size(), MSG_NOSIGNAL), 0);
+                c.received.clear();
             }
     }
 
   private:
-    struct Peer {
+    struct Accepted {
         int fd;
-        std::string got;
+        std::string received;
     };
-    static int make() { return socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); }
-    int door_;
-    sockaddr_in at_{};
-    std::vector<int> fillers_;
-    std::vector<Peer> peers_;
+    static int createSocket() { return socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); }
+    int listener_;
+    sockaddr_in address_{};
+    std::vector<int> backlogFillers_;
+    std::vector<Accepted> connections_;
 };
 
 }  // namespace spokewheel::platform::testing
