--- a/src/fronts/http/decode_request.cpp
+++ b/src/fronts/http/decode_request.cpp
@@ -79,7 +79,7 @@
 }
 
 // Parses "volume=00000003b4d60021,units=2,shard=5,hosts=3"; other entries are ignored.
-void parseXIo(std::string_view text, host::Work& work) {
+void parseXIo(std::string_view text, host::RequestSpec& work) {
     const RequestError error{"X-IO: volume, units, shard and hosts are wanted, each once"};
     int seen = 0;
     while (!text.empty()) {
@@ -165,15 +165,15 @@
         out.error = error.message;
         return out;
     }
-    auto exchange = std::make_shared<host::Exchange>();
-    exchange->method = head.method;
-    exchange->target = head.target;
-    exchange->fields.emplace_back("X-Request-ID", out.id);
+    auto nodeRequest = std::make_shared<host::NodeRequest>();
+    nodeRequest->method = head.method;
+    nodeRequest->target = head.target;
+    nodeRequest->fields.emplace_back("X-Request-ID", out.id);
     for (const auto& field : head.fields)
-        if (isForwarded(head, field.first)) exchange->fields.push_back(field);
-    exchange->mostAnswer = kMaxAnswerBytes;
-    out.work.name = out.id;
-    out.work.exchange = std::move(exchange);
+        if (isForwarded(head, field.first)) nodeRequest->fields.push_back(field);
+    nodeRequest->maxResponseBytes = kMaxAnswerBytes;
+    out.work.clientRequestId = out.id;
+    out.work.nodeRequest = std::move(nodeRequest);
     return out;
 }
 
--- a/src/fronts/http/decode_request.hpp
+++ b/src/fronts/http/decode_request.hpp
@@ -1,5 +1,6 @@
-// Decodes the head of a platform request into host::Work, or into the status and text of the error response.
-// Free of I/O and clocks. Independent of load: refusing requests under load is up to the scheduling module.
+// Decodes the head of a platform request into host::RequestSpec, or into the status and text of the error
+// response. Free of I/O and clocks. Independent of load: refusing requests under load is up to the scheduling
+// module.
 #pragma once
 
 #include <string>
@@ -11,10 +12,10 @@
 namespace spokewheel::fronts::http {
 
 struct DecodedRequest {
-    int status = 0;     // 0: valid request; otherwise a 4xx status, with `error` as the response body
-    std::string error;  // what is wrong, naming the field
-    std::string id;     // X-Request-ID as received
-    host::Work work;    // the exchange has no body yet; arrivedMs is not set
+    int status = 0;          // 0: valid request; otherwise a 4xx status, with `error` as the response body
+    std::string error;       // what is wrong, naming the field
+    std::string id;          // X-Request-ID as received
+    host::RequestSpec work;  // its node request has no body yet; arrivedMs is not set
 };
 
 // Maximum sizes of request and answer bodies. The platform's answers can be longer than it documents: 350 KB
--- a/src/fronts/http/server.cpp
+++ b/src/fronts/http/server.cpp
@@ -222,21 +222,21 @@
     const bool last = s->parser.closes();
     s->state.first = false;
     if (s->isReadinessCheck) return sendAnswer(s, reportsReady_ ? 200 : 503, {}, "", last);
-    if (s->decoded.work.exchange->method == "GET" && !s->body.empty())
+    if (s->decoded.work.nodeRequest->method == "GET" && !s->body.empty())
         return sendError(s, 400, "a GET with a body");
     if (!openRequestIds_.insert(s->decoded.id).second)
         return sendError(s, 409, "X-Request-ID is of an open request");
     ++counts_.requests;
     auto work = std::move(s->decoded.work);
-    if (work.exchange->method == "PUT") {
-        auto exchange = std::make_shared<host::Exchange>(*work.exchange);
-        exchange->body = std::make_shared<const std::string>(std::exchange(s->body, {}));
-        work.exchange = std::move(exchange);
+    if (work.nodeRequest->method == "PUT") {
+        auto nodeRequest = std::make_shared<host::NodeRequest>(*work.nodeRequest);
+        nodeRequest->body = std::make_shared<const std::string>(std::exchange(s->body, {}));
+        work.nodeRequest = std::move(nodeRequest);
     }
     work.arrivedMs = s->arrivedAt;
     // The loop may be delayed between its poll and an attempt; reading what is pending finds out whether the
     // client has gone meanwhile.
-    work.awaited = [connection = s->connection] {
+    work.clientWaiting = [connection = s->connection] {
         connection->readPending();
         return connection->open();
     };
--- a/src/platform/decide_budget.hpp
+++ b/src/platform/decide_budget.hpp
@@ -11,24 +11,24 @@
 namespace spokewheel::platform {
 
 // Bounds of the pool of connections to disk servers. The connections to one server are already bounded by the
-// scheduling module's windows; `open` only guards against a fault there. All pools together get their share
-// of the descriptors. Idle connections are closed somewhat before the disk server would close them. Answers
-// being received get a quarter of the memory.
-inline nodes::PoolCaps poolCaps(std::size_t sockets, std::size_t memoryMb, double connIdleMs,
-                                double dialTimeoutMs) {
+// scheduling module's windows; `maxPerNode` only guards against a fault there. All pools together get their
+// share of the descriptors. Idle connections are closed somewhat before the disk server would close them.
+// Answers being received get a quarter of the memory.
+inline nodes::PoolLimits poolLimits(std::size_t sockets, std::size_t memoryMb, double connIdleMs,
+                                    double dialTimeoutMs) {
     constexpr std::size_t kMaxPerNode = 64;
     constexpr double kIdleFraction = 0.8;
     // The head of a request states the client's remaining time; the last byte has to follow it within the
     // platform's tolerance of 0.15 s.
     constexpr double kWriteTimeoutMs = 120;
-    nodes::PoolCaps caps;
-    caps.open = caps.idle = kMaxPerNode;
-    caps.total = fronts::http::splitDescriptors(sockets).nodes;
-    caps.idleMs = kIdleFraction * connIdleMs;
-    caps.connectMs = dialTimeoutMs;
-    caps.wholeWithinMs = kWriteTimeoutMs;
-    caps.buffered = memoryMb * 1024 * 1024 / 4;
-    return caps;
+    nodes::PoolLimits limits;
+    limits.maxPerNode = limits.maxIdlePerNode = kMaxPerNode;
+    limits.maxTotal = fronts::http::splitDescriptors(sockets).nodes;
+    limits.idleTimeoutMs = kIdleFraction * connIdleMs;
+    limits.connectTimeoutMs = dialTimeoutMs;
+    limits.writeTimeoutMs = kWriteTimeoutMs;
+    limits.maxBufferedBytes = memoryMb * 1024 * 1024 / 4;
+    return limits;
 }
 
 // Bytes pipelined behind open requests get an eighth of the memory.
--- a/src/platform/platform_daemon.cpp
+++ b/src/platform/platform_daemon.cpp
@@ -21,12 +21,12 @@
 
 // Throws std::runtime_error naming the file and the setting if the settings are inconsistent.
 std::unique_ptr<host::Host> createHost(const std::string& file, const Configuration& configuration,
-                                       host::Host::Edges edges) {
+                                       host::Host::Dependencies dependencies) {
     // All requests wait in the scheduling module; their number is bounded by the connections.
     constexpr auto kUnlimited = std::numeric_limits<std::size_t>::max();
     try {
         return std::make_unique<host::Host>(configuration.schedulerSettings, configuration.seed, kUnlimited,
-                                            std::move(edges));
+                                            std::move(dependencies));
     } catch (const std::invalid_argument& error) {
         throw std::runtime_error(file + ": settings: " + error.what());
     }
@@ -42,26 +42,26 @@
       log_("", "info", configuration_.name) {
     const auto& c = configuration_;
     nodes_ =
-        std::make_unique<nodes::NodeClient>(poolCaps(c.sockets, c.memoryMb, c.connIdleMs, c.dialTimeoutMs),
+        std::make_unique<nodes::NodeClient>(poolLimits(c.sockets, c.memoryMb, c.connIdleMs, c.dialTimeoutMs),
                                             platformDialect(
                                                 [this](const std::string& node, io::Address& out) {
                                                     const auto* address = nodeTable_.address(node);
                                                     return address && io::parseNumericAddress(*address, out);
                                                 },
                                                 true));
-    host::Host::Edges edges;
-    edges.nodes = nodes_.get();
-    edges.tellPeers = [this](int to, const std::string& bytes) {
-        if (peers_) peers_->tell(to, bytes);
+    host::Host::Dependencies dependencies;
+    dependencies.nodes = nodes_.get();
+    dependencies.sendToPeers = [this](int to, const std::string& bytes) {
+        if (peers_) peers_->send(to, bytes);
     };
     if (environment_.trace)
-        edges.note = [this](const char* event, const std::string& request, const std::string& node,
-                            const std::string& words) {
+        dependencies.logEvent = [this](const char* event, const std::string& request, const std::string& node,
+                                       const std::string& words) {
             log_.event(Level::Info, event, {{"request", request}, {"node", node}, {"words", words}},
                        io::nowMs());
         };
-    edges.noteLimit = [this](const LimitAccount& note) { logLimitAccount(log_, note); };
-    host_ = createHost(file_, c, std::move(edges));
+    dependencies.onLimitNote = [this](const LimitAccount& note) { logLimitAccount(log_, note); };
+    host_ = createHost(file_, c, std::move(dependencies));
     startPeerLink();
     host_->monitor().reportTo(
         [this](invariants::Violation violation, const std::string& request, const std::string& detail) {
@@ -96,9 +96,9 @@
         peers_ = std::make_unique<peers::PlainLink>(c.schedulerSettings.rank, c.peerListen, c.peers,
                                                     c.peersAll, [this](int from, std::string bytes) {
                                                         if (!startupList_->onPeerMessage(from, bytes))
-                                                            host_->onPeer(from, std::move(bytes));
+                                                            host_->onPeerMessage(from, std::move(bytes));
                                                     });
-        callbacks.sendToPeer = [this](int rank, const std::string& bytes) { peers_->tell(rank, bytes); };
+        callbacks.sendToPeer = [this](int rank, const std::string& bytes) { peers_->send(rank, bytes); };
     }
     startupList_ =
         std::make_unique<StartupNodeList>(configuration_.known, nodeTable_, static_cast<int>(c.peers.size()),
