--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -18,7 +18,8 @@
 namespace spokewheel::benchlink {
 namespace {
 
-struct Malformed : std::runtime_error {
+// Input that breaks the protocol; ends the program.
+struct MalformedInput : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
@@ -28,7 +29,8 @@
     return error == std::errc() && end == text.data() + text.size();
 }
 
-// One line cut at its tabs; the getters complain with the line's number and the field's name.
+// One line, split at its tabs. The getters throw MalformedInput with the line's number and the field's name;
+// those with a fallback return it for "-" or a missing field.
 class Line {
   public:
     Line(std::string text, std::size_t number) : text_(std::move(text)), number_(number) {
@@ -39,43 +41,43 @@
     }
     std::string_view name() const { return fields_[0]; }
     std::size_t size() const { return fields_.size(); }
-    std::string_view raw(std::size_t i) const { return i < fields_.size() ? fields_[i] : "-"; }
+    std::string_view raw(std::size_t index) const { return index < fields_.size() ? fields_[index] : "-"; }
     [[noreturn]] void fail(const std::string& field, const std::string& expected) const {
-        throw Malformed("line " + std::to_string(number_) + " (" + std::string(name()) + "): field '" +
-                        field + "': expected " + expected);
+        throw MalformedInput("line " + std::to_string(number_) + " (" + std::string(name()) + "): field '" +
+                             field + "': expected " + expected);
     }
-    std::string text(std::size_t i, const char* field) const {
-        if (i >= fields_.size() || fields_[i].empty()) fail(field, "text");
-        return std::string(fields_[i]);
+    std::string text(std::size_t index, const char* field) const {
+        if (index >= fields_.size() || fields_[index].empty()) fail(field, "text");
+        return std::string(fields_[index]);
     }
-    std::int64_t whole(std::size_t i, const char* field) const {
+    std::int64_t integer(std::size_t index, const char* field) const {
         std::int64_t value = 0;
-        if (i >= fields_.size() || !parseNumber(fields_[i], value)) fail(field, "a whole number");
+        if (index >= fields_.size() || !parseNumber(fields_[index], value)) fail(field, "a whole number");
         return value;
     }
-    std::int64_t wholeOr(std::size_t i, const char* field, std::int64_t absent) const {
-        return raw(i) == "-" ? absent : whole(i, field);
+    std::int64_t integerOr(std::size_t index, const char* field, std::int64_t fallback) const {
+        return raw(index) == "-" ? fallback : integer(index, field);
     }
-    double number(std::size_t i, const char* field) const {
+    double number(std::size_t index, const char* field) const {
         double value = 0;
-        if (i >= fields_.size() || !parseNumber(fields_[i], value) || !std::isfinite(value))
+        if (index >= fields_.size() || !parseNumber(fields_[index], value) || !std::isfinite(value))
             fail(field, "a number");
         return value;
     }
-    double numberOr(std::size_t i, const char* field, double absent) const {
-        return raw(i) == "-" ? absent : number(i, field);
+    double numberOr(std::size_t index, const char* field, double fallback) const {
+        return raw(index) == "-" ? fallback : number(index, field);
     }
-    bool flag(std::size_t i, const char* field) const {
-        if (raw(i) != "0" && raw(i) != "1") fail(field, "1 or 0");
-        return raw(i) == "1";
+    bool flag(std::size_t index, const char* field) const {
+        if (raw(index) != "0" && raw(index) != "1") fail(field, "1 or 0");
+        return raw(index) == "1";
     }
-    Outcome outcome(std::size_t i, const char* field) const {
+    Outcome outcome(std::size_t index, const char* field) const {
         static const std::map<std::string_view, Outcome> words = {
             {"served", Outcome::Served},        {"server_error", Outcome::ServerError},
             {"turned_away", Outcome::Rejected}, {"no_answer", Outcome::NoAnswer},
             {"called_off", Outcome::Cancelled}, {"no_connection", Outcome::NoConnection},
             {"not_sent", Outcome::NotSent},     {"connection_lost", Outcome::ConnectionLost}};
-        const auto found = words.find(raw(i));
+        const auto found = words.find(raw(index));
         if (found == words.end()) fail(field, "an outcome");
         return found->second;
     }
@@ -88,7 +90,7 @@
 
 constexpr std::string_view kBase64 = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
-std::string encode(const std::string& bytes) {
+std::string encodeBase64(const std::string& bytes) {
     if (bytes.empty()) return "-";
     std::string out;
     for (std::size_t i = 0; i < bytes.size(); i += 3) {
@@ -101,21 +103,23 @@
     return out;
 }
 
-bool decode(std::string_view text, std::string& bytes) {
+// Appends to `bytes`; false if `text` is not base64. "-" stands for no bytes.
+bool decodeBase64(std::string_view text, std::string& bytes) {
     if (text == "-") return true;
     if (text.size() % 4 != 0) return false;
     for (int pad = 0; pad < 2 && !text.empty() && text.back() == '='; ++pad) text.remove_suffix(1);
-    unsigned bits = 0, have = 0;
+    unsigned bits = 0, bitCount = 0;
     for (const char c : text) {
         const auto at = kBase64.find(c);
         if (at == kBase64.npos) return false;
         bits = bits << 6 | static_cast<unsigned>(at);
-        if ((have += 6) >= 8) bytes += static_cast<char>(bits >> (have -= 8) & 255);
+        if ((bitCount += 6) >= 8) bytes += static_cast<char>(bits >> (bitCount -= 8) & 255);
     }
     return true;
 }
 
-// What the line says from its fourth field on: path=value. A fault is told with the line's number.
+// Reads the settings from the line's fourth field on: path=value. Throws MalformedInput with the line's
+// number.
 Settings settingsFrom(const Line& line) {
     settings::FlatSettings::Values values;
     for (std::size_t i = 3; i < line.size(); ++i) {
@@ -133,9 +137,9 @@
 
 NodeEntry nodeFrom(const Line& line) {
     NodeEntry entry;
-    entry.shard = static_cast<int>(line.wholeOr(1, "group", -1));
+    entry.shard = static_cast<int>(line.integerOr(1, "group", -1));
     entry.sizeHint = line.numberOr(2, "power-hint", 1);
-    switch (line.whole(3, "lifecycle")) {
+    switch (line.integer(3, "lifecycle")) {
         case 0:
             entry.lifecycle = Lifecycle::Gone;
             break;
@@ -155,48 +159,53 @@
 }
 
 Request requestFrom(const Line& line) {
-    Request r;
-    r.id = line.text(2, "xid");
-    r.requestClass = line.text(3, "class");
-    r.plan = line.text(4, "grade");
-    r.key = line.wholeOr(5, "item", -1);
-    r.ttlMs = line.number(6, "ttl-ms");
-    r.volume = line.wholeOr(7, "disk", 0);
-    r.units = line.numberOr(8, "size-units", 1);
-    r.shard = static_cast<int>(line.numberOr(9, "slot-no", -1));
-    r.hosts = static_cast<int>(line.numberOr(10, "hosts", 1));
-    return r;
+    Request request;
+    request.id = line.text(2, "xid");
+    request.requestClass = line.text(3, "class");
+    request.plan = line.text(4, "grade");
+    request.key = line.integerOr(5, "item", -1);
+    request.ttlMs = line.number(6, "ttl-ms");
+    request.volume = line.integerOr(7, "disk", 0);
+    request.units = line.numberOr(8, "size-units", 1);
+    request.shard = static_cast<int>(line.numberOr(9, "slot-no", -1));
+    request.hosts = static_cast<int>(line.numberOr(10, "hosts", 1));
+    return request;
 }
 
-AttemptEnded verdictFrom(const Line& line) {
-    AttemptEnded v;
-    v.id = line.text(2, "xid");
-    v.outcome = line.outcome(3, "verdict");
-    v.tookMs = line.numberOr(4, "cost-time-ms", 0);
-    v.attempt = static_cast<int>(line.whole(5, "shot"));
-    v.requestEnded = line.flag(6, "terminal");
-    v.servedElsewhere = line.numberOr(7, "others-got", 0);
-    v.usage = line.numberOr(8, "usage", 0);
-    v.node = line.text(9, "server");
-    return v;
+AttemptEnded attemptEndedFrom(const Line& line) {
+    AttemptEnded result;
+    result.id = line.text(2, "xid");
+    result.outcome = line.outcome(3, "verdict");
+    result.tookMs = line.numberOr(4, "cost-time-ms", 0);
+    result.attempt = static_cast<int>(line.integer(5, "shot"));
+    result.requestEnded = line.flag(6, "terminal");
+    result.servedElsewhere = line.numberOr(7, "others-got", 0);
+    result.usage = line.numberOr(8, "usage", 0);
+    result.node = line.text(9, "server");
+    return result;
 }
 
+// Prints the actions of one scheduler.
 class Printer {
   public:
     Printer(std::ostream& out, std::int64_t instance) : out_(out), instance_(instance) {}
-    void operator()(const Attempt& a) {
-        head("ATTEMPT") << a.id << '\t' << a.node << '\t' << ms(a.expireAtMs) << '\n';
+    void operator()(const Attempt& action) {
+        head("ATTEMPT") << action.id << '\t' << action.node << '\t' << ms(action.expireAtMs) << '\n';
     }
-    void operator()(const Refuse& a) { head("TURN_AWAY") << a.id << '\t' << ms(a.retryAfterMs) << '\n'; }
-    void operator()(const Fail& a) { head("GIVE_UP") << a.id << '\n'; }
-    void operator()(const Cancel& a) { head("RECALL") << a.id << '\t' << a.attempt << '\n'; }
-    void operator()(const Probe& a) { head("SOUND_OUT") << a.node << '\n'; }
-    void operator()(const SendToPeers& a) { head("ANNOUNCE") << a.to << '\t' << encode(a.bytes) << '\n'; }
-    void operator()(const SetTimer& a) { head("REMIND") << ms(a.afterMs) << '\t' << 1 << '\n'; }
+    void operator()(const Refuse& action) {
+        head("TURN_AWAY") << action.id << '\t' << ms(action.retryAfterMs) << '\n';
+    }
+    void operator()(const Fail& action) { head("GIVE_UP") << action.id << '\n'; }
+    void operator()(const Cancel& action) { head("RECALL") << action.id << '\t' << action.attempt << '\n'; }
+    void operator()(const Probe& action) { head("SOUND_OUT") << action.node << '\n'; }
+    void operator()(const SendToPeers& action) {
+        head("ANNOUNCE") << action.to << '\t' << encodeBase64(action.bytes) << '\n';
+    }
+    void operator()(const SetTimer& action) { head("REMIND") << ms(action.afterMs) << '\t' << 1 << '\n'; }
     void operator()(const Subscribe&) { head("KEEP_INFORMED") << 1 << '\n'; }
     void operator()(const FetchList&) { out_ << "GET_LIST\t" << instance_ << '\n'; }
-    void operator()(const LimitAccount&) {}  // never asked for here
-    void exception(const std::string& words) { head("EXCEPTION") << words << '\n'; }
+    void operator()(const LimitAccount&) {}  // not requested by these settings
+    void exception(const std::string& message) { head("EXCEPTION") << message << '\n'; }
 
   private:
     std::ostream& head(const char* verb) { return out_ << verb << '\t' << instance_ << '\t'; }
@@ -209,9 +218,11 @@
     std::int64_t instance_;
 };
 
+// Runs the schedulers of one connection, by their number.
 class Server {
   public:
     Server(std::istream& in, std::ostream& out) : in_(in), out_(out) {}
+    // Handles the events of one FRAME and prints the resulting actions; false at the end of the input.
     bool batch() {
         std::string text;
         if (!next(text)) return false;
@@ -220,7 +231,7 @@
         if (frame.name() != "FRAME") frame.fail("message", "FRAME");
         now_ = frame.number(1, "clock");
         for (;;) {
-            if (!next(text)) throw Malformed("line " + std::to_string(number_) + ": expected FLUSH");
+            if (!next(text)) throw MalformedInput("line " + std::to_string(number_) + ": expected FLUSH");
             const Line line(text, number_);
             if (line.name() == "FLUSH") break;
             dispatch(line);
@@ -251,7 +262,7 @@
     }
     void dispatch(const Line& line) {
         const auto name = line.name();
-        const auto instance = line.whole(1, "scheduler");
+        const auto instance = line.integer(1, "scheduler");
         if (name == "ENLIST") {
             std::uint64_t seed = 0;
             if (!parseNumber(line.raw(2), seed)) line.fail("seed", "a whole number");
@@ -271,11 +282,11 @@
         auto& events = pending_[instance];
         if (name == "UPDATE") {
             ListUpdate update;
-            const auto form = line.whole(2, "form");
+            const auto form = line.integer(2, "form");
             if (form < 0 || form > 3) line.fail("form", "0 to 3");
             update.form = static_cast<ListForm>(form);
-            line.whole(3, "rev");
-            const auto entries = line.whole(4, "items");
+            line.integer(3, "rev");
+            const auto entries = line.integer(4, "items");
             if (entries < 0) line.fail("items", "a count");
             for (std::int64_t i = 0; i < entries; ++i) {
                 std::string text;
@@ -288,20 +299,20 @@
         } else if (name == "INBOUND") {
             events.emplace_back(requestFrom(line));
         } else if (name == "VERDICT") {
-            events.emplace_back(verdictFrom(line));
+            events.emplace_back(attemptEndedFrom(line));
         } else if (name == "SAMPLED") {
             events.emplace_back(ProbeResult{line.text(3, "server"), line.outcome(4, "verdict"),
                                             line.numberOr(2, "cost-time-ms", 0)});
         } else if (name == "WAKE") {
-            line.whole(2, "label");
+            line.integer(2, "label");
             events.emplace_back(Wake{});
         } else if (name == "STREAMING") {
             events.emplace_back(ResponseStarted{line.text(2, "xid")});
         } else if (name == "CLIENT_GONE") {
             events.emplace_back(ClientGone{line.text(2, "xid")});
         } else if (name == "MEMO") {
-            PeerMessage message{static_cast<int>(line.whole(2, "from")), {}};
-            if (!decode(line.raw(3), message.bytes)) line.fail("data", "base64");
+            PeerMessage message{static_cast<int>(line.integer(2, "from")), {}};
+            if (!decodeBase64(line.raw(3), message.bytes)) line.fail("data", "base64");
             events.emplace_back(std::move(message));
         } else {
             line.fail("message", "a known message");
@@ -323,7 +334,7 @@
     try {
         while (server.batch()) {
         }
-    } catch (const Malformed& e) {
+    } catch (const MalformedInput& e) {
         err << e.what() << std::endl;
         return 1;
     }
--- a/src/benchlink/wire.hpp
+++ b/src/benchlink/wire.hpp
@@ -1,4 +1,5 @@
-// The bench's wire, parsed and printed. Nothing here decides anything.
+// The bench link: a line protocol over standard input and output that runs schedulers on a simulated clock.
+// Parses events and prints actions; the schedulers decide.
 #pragma once
 
 #include <iosfwd>
--- a/src/invariants/monitor.hpp
+++ b/src/invariants/monitor.hpp
@@ -1,5 +1,6 @@
-// Run-time checks of the rules that a scheduler must keep on its own. A check counts violations by kind and
-// reports the first of each kind; it never ends the program. Standard library only, no I/O, no clock.
+// Run-time checks of rules that a scheduler must keep by itself. A failed check counts a violation of its
+// kind and reports the first of each kind; it never ends the program. Standard library only, no I/O, no
+// clock.
 #pragma once
 
 #include <array>
@@ -11,8 +12,9 @@
 
 namespace spokewheel::invariants {
 
-// What was violated. The prefix names the point at which it is checked: the first byte of an attempt, the
-// first byte of a repeated attempt, the end of a client connection, the readiness of the process.
+// The violated rule. The prefix names where it is checked: Send, the first byte of an attempt; Repeat, the
+// first byte of a repeated attempt; Close, the end of a client connection; Ready, the readiness of the
+// process.
 enum class Violation {
     SendForEndedRequest,
     SendAfterClientLeft,
@@ -40,14 +42,14 @@
     return kNames[static_cast<std::size_t>(violation)];
 }
 
-// Counts violations. One for each process; not thread-safe.
+// Counts violations; one instance for each process. Not thread-safe.
 class Monitor {
   public:
-    // Called for the first violation of each kind, with the request's id (may be empty).
+    // Called for the first violation of each kind. The request's id may be empty.
     using Report = std::function<void(Violation, const std::string& request, const std::string& detail)>;
 
     void reportTo(Report report) { report_ = std::move(report); }
-    // Returns `holds`; counts a violation where it is false.
+    // Returns `holds`; counts a violation if it is false.
     bool check(bool holds, Violation kind, const std::string& request, const std::string& detail = {}) {
         if (holds) return true;
         ++total_;
--- a/src/settings/flat_settings.cpp
+++ b/src/settings/flat_settings.cpp
@@ -13,7 +13,7 @@
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     return error == std::errc() && end == text.data() + text.size();
 }
-bool truth(const std::string& path, const std::string& text) {
+bool parseBool(const std::string& path, const std::string& text) {
     if (text != "true" && text != "false" && text != "1" && text != "0")
         throw SettingError(path, "true or false");
     return text == "true" || text == "1";
@@ -34,96 +34,96 @@
         throw SettingError(path, "a whole number");
 }
 void FlatSettings::get(const std::string& path, bool& value) const {
-    if (const auto* text = find(path)) value = truth(path, *text);
+    if (const auto* text = find(path)) value = parseBool(path, *text);
 }
 void FlatSettings::get(const std::string& path, std::string& value) const {
     if (const auto* text = find(path)) value = *text;
 }
 std::vector<bool> FlatSettings::flags(const std::string& path) const {
-    std::vector<bool> out;
+    std::vector<bool> values;
     const auto* text = find(path);
-    for (std::size_t at = 0; text && !text->empty() && at <= text->size();) {
-        const auto comma = std::min(text->find(',', at), text->size());
-        out.push_back(truth(path, text->substr(at, comma - at)));
-        at = comma + 1;
+    for (std::size_t start = 0; text && !text->empty() && start <= text->size();) {
+        const auto comma = std::min(text->find(',', start), text->size());
+        values.push_back(parseBool(path, text->substr(start, comma - start)));
+        start = comma + 1;
     }
-    return out;
+    return values;
 }
 std::size_t FlatSettings::count(const std::string& path) const {
-    int n = 0;
-    get(path + ".count", n);
-    if (n < 0 || n > 10000) throw SettingError(path + ".count", "a count");
-    return static_cast<std::size_t>(n);
+    int count = 0;
+    get(path + ".count", count);
+    if (count < 0 || count > 10000) throw SettingError(path + ".count", "a count");
+    return static_cast<std::size_t>(count);
 }
 
-Settings settingsFrom(const FlatSettings& paths) {
-    Settings s;
-    s.classes.resize(paths.count("classes"));
-    const auto writes = paths.flags("domain.class-writes");
-    if (!writes.empty() && writes.size() != s.classes.size())
+Settings settingsFrom(const FlatSettings& flat) {
+    Settings settings;
+    settings.classes.resize(flat.count("classes"));
+    const auto writes = flat.flags("domain.class-writes");
+    if (!writes.empty() && writes.size() != settings.classes.size())
         throw SettingError("domain.class-writes", "one value for each class");
-    for (std::size_t i = 0; i < s.classes.size(); ++i) {
-        auto& c = s.classes[i];
-        const auto at = "classes." + std::to_string(i) + ".";
-        paths.get(at + "name", c.name);
-        paths.choose(at + "effect", c.effect,
-                     {{"repeatable", Effect::Repeatable}, {"by_key", Effect::ByKey}, {"once", Effect::Once}});
-        paths.choose(at + "group", c.group,
-                     {{"all", Group::All}, {"zone", Group::Zone}, {"cell", Group::Cell}});
-        paths.get(at + "points", c.points);
-        paths.get(at + "late-worth", c.lateWorth);
-        paths.get(at + "on-time-ms", c.latencyTargetMs);
-        paths.get(at + "deadline-ms", c.deadlineMs);
-        paths.get(at + "memory-span-ms", c.keyRetentionMs);
-        paths.get(at + "in-order", c.inOrder);
-        paths.get(at + "stream", c.stream);
-        c.writes = i < writes.size() && writes[i];
+    for (std::size_t i = 0; i < settings.classes.size(); ++i) {
+        auto& requestClass = settings.classes[i];
+        const auto prefix = "classes." + std::to_string(i) + ".";
+        flat.get(prefix + "name", requestClass.name);
+        flat.choose(prefix + "effect", requestClass.effect,
+                    {{"repeatable", Effect::Repeatable}, {"by_key", Effect::ByKey}, {"once", Effect::Once}});
+        flat.choose(prefix + "group", requestClass.group,
+                    {{"all", Group::All}, {"zone", Group::Zone}, {"cell", Group::Cell}});
+        flat.get(prefix + "points", requestClass.points);
+        flat.get(prefix + "late-worth", requestClass.lateWorth);
+        flat.get(prefix + "on-time-ms", requestClass.latencyTargetMs);
+        flat.get(prefix + "deadline-ms", requestClass.deadlineMs);
+        flat.get(prefix + "memory-span-ms", requestClass.keyRetentionMs);
+        flat.get(prefix + "in-order", requestClass.inOrder);
+        flat.get(prefix + "stream", requestClass.stream);
+        requestClass.writes = i < writes.size() && writes[i];
     }
-    s.plans.resize(paths.count("contracts"));
-    for (std::size_t i = 0; i < s.plans.size(); ++i) {
-        auto& p = s.plans[i];
-        const auto at = "contracts." + std::to_string(i) + ".";
-        paths.get(at + "name", p.name);
-        paths.get(at + "limit", p.limit);
-        paths.get(at + "limit-burst", p.limitBurst);
-        paths.get(at + "slack", p.slack);
-        paths.get(at + "nominal", p.nominal);
-        paths.get(at + "reservation", p.reservation);
-        paths.get(at + "shares", p.weight);
-        paths.get(at + "worth-factor", p.worthFactor);
+    settings.plans.resize(flat.count("contracts"));
+    for (std::size_t i = 0; i < settings.plans.size(); ++i) {
+        auto& plan = settings.plans[i];
+        const auto prefix = "contracts." + std::to_string(i) + ".";
+        flat.get(prefix + "name", plan.name);
+        flat.get(prefix + "limit", plan.limit);
+        flat.get(prefix + "limit-burst", plan.limitBurst);
+        flat.get(prefix + "slack", plan.slack);
+        flat.get(prefix + "nominal", plan.nominal);
+        flat.get(prefix + "reservation", plan.reservation);
+        flat.get(prefix + "shares", plan.weight);
+        flat.get(prefix + "worth-factor", plan.worthFactor);
     }
-    paths.get("peers-total", s.hosts);
-    paths.get("rank", s.rank);
-    paths.choose("registry-mode", s.subscribe, {{"automatic", false}, {"subscribe", true}});
-    paths.get("ceilings.probes", s.mayProbe);
-    paths.get("ceilings.peers", s.maySendToPeers);
-    paths.get("ceilings.cancel", s.mayCancel);
-    paths.get("ceilings.second-copies", s.maySecondCopy);
-    paths.get("ceilings.send-cap", s.maxAttempts);
-    paths.get("ceilings.max-open", s.maxOpen);
-    bool holdOff = false;
-    paths.get("ceilings.retry-after", holdOff);
-    if (holdOff) paths.get("ceilings.max-retry-after-ms", s.maxRetryAfterMs);
-    paths.get("tick-ms", s.tickMs);
-    paths.get("domain.cold-units", s.coldUnits);
-    paths.get("rules.cold-ms", s.coldMs);
-    paths.get("rules.cold-share", s.coldShare);
-    paths.get("rules.tip-multiple", s.overloadFactor);
-    paths.get("rules.fall-ms", s.overloadSpanMs);
-    paths.get("rules.drain-grace-ms", s.drainGraceMs);
-    paths.get("rules.grace-to-answer-ms", s.answerGraceMs);
-    paths.get("rules.ask-within-ms", s.askWithinMs);
-    paths.get("rules.settle-after-doubt-ms", s.settleAfterDoubtMs);
-    paths.get("rules.extra-floor", s.retryBudgetFloor);
-    paths.get("rules.extra-share", s.retryBudgetShare);
-    paths.get("rules.ratio-span-ms", s.retryBudgetSpanMs);
-    paths.get("domain.mean-units", s.meanUnits);
-    paths.get("domain.units-top", s.maxUnits);
-    paths.get("domain.fair-worth", s.fairWorth);
-    paths.get("domain.spare-worth", s.spareWorth);
-    paths.get("domain.use-period-ms", s.usagePeriodMs);
-    paths.get("zone", s.zone);
-    return s;
+    flat.get("peers-total", settings.hosts);
+    flat.get("rank", settings.rank);
+    flat.choose("registry-mode", settings.subscribe, {{"automatic", false}, {"subscribe", true}});
+    flat.get("ceilings.probes", settings.mayProbe);
+    flat.get("ceilings.peers", settings.maySendToPeers);
+    flat.get("ceilings.cancel", settings.mayCancel);
+    flat.get("ceilings.second-copies", settings.maySecondCopy);
+    flat.get("ceilings.send-cap", settings.maxAttempts);
+    flat.get("ceilings.max-open", settings.maxOpen);
+    bool sendRetryAfter = false;
+    flat.get("ceilings.retry-after", sendRetryAfter);
+    if (sendRetryAfter) flat.get("ceilings.max-retry-after-ms", settings.maxRetryAfterMs);
+    flat.get("tick-ms", settings.tickMs);
+    flat.get("domain.cold-units", settings.coldUnits);
+    flat.get("rules.cold-ms", settings.coldMs);
+    flat.get("rules.cold-share", settings.coldShare);
+    flat.get("rules.tip-multiple", settings.overloadFactor);
+    flat.get("rules.fall-ms", settings.overloadSpanMs);
+    flat.get("rules.drain-grace-ms", settings.drainGraceMs);
+    flat.get("rules.grace-to-answer-ms", settings.answerGraceMs);
+    flat.get("rules.ask-within-ms", settings.askWithinMs);
+    flat.get("rules.settle-after-doubt-ms", settings.settleAfterDoubtMs);
+    flat.get("rules.extra-floor", settings.retryBudgetFloor);
+    flat.get("rules.extra-share", settings.retryBudgetShare);
+    flat.get("rules.ratio-span-ms", settings.retryBudgetSpanMs);
+    flat.get("domain.mean-units", settings.meanUnits);
+    flat.get("domain.units-top", settings.maxUnits);
+    flat.get("domain.fair-worth", settings.fairWorth);
+    flat.get("domain.spare-worth", settings.spareWorth);
+    flat.get("domain.use-period-ms", settings.usagePeriodMs);
+    flat.get("zone", settings.zone);
+    return settings;
 }
 
 }  // namespace spokewheel::settings
--- a/src/settings/flat_settings.hpp
+++ b/src/settings/flat_settings.hpp
@@ -1,6 +1,6 @@
-// Settings by path ("classes.0.name", "classes.count", a list of plain values joined by commas), as the
-// simulator's first message and the platform's configuration both bring them, read into the module's
-// Settings. One reader for both, so that they can't be understood apart. Standard library only.
+// Settings as a flat map from path to text ("classes.0.name", "classes.count", plain lists joined by commas),
+// read into the scheduler's Settings. The bench link's first message and the platform's configuration both
+// use this reader, so that they cannot be understood differently. Standard library only.
 #pragma once
 
 #include <cstdint>
@@ -13,15 +13,17 @@
 
 namespace spokewheel::settings {
 
-// A value that can't be used: its path and what is wanted there.
+// A value that cannot be used: its path and what was expected there.
 struct SettingError : std::runtime_error {
-    SettingError(const std::string& at, const std::string& wanted)
-        : std::runtime_error("setting '" + at + "': expected " + wanted), path(at), expected(wanted) {}
+    SettingError(const std::string& settingPath, const std::string& expectedText)
+        : std::runtime_error("setting '" + settingPath + "': expected " + expectedText),
+          path(settingPath),
+          expected(expectedText) {}
     std::string path, expected;
 };
 
-// What the reader doesn't use is never looked up, and so ignored. Every getter leaves the value as it is
-// where the path is absent and throws SettingError where it can't be read.
+// Every getter leaves `value` as it is where the path is absent, and throws SettingError where the text
+// cannot be read. Paths that nobody looks up are ignored.
 class FlatSettings {
   public:
     using Values = std::map<std::string, std::string>;
@@ -30,15 +32,18 @@
     void get(const std::string& path, int& value) const;
     void get(const std::string& path, bool& value) const;
     void get(const std::string& path, std::string& value) const;
+    // Maps a word to a value.
     template <class T>
-    void choose(const std::string& path, T& value, const std::map<std::string, T>& words) const {
+    void choose(const std::string& path, T& value, const std::map<std::string, T>& choices) const {
         const auto* text = find(path);
         if (!text) return;
-        const auto found = words.find(*text);
-        if (found == words.end()) throw SettingError(path, "one of the known words");
+        const auto found = choices.find(*text);
+        if (found == choices.end()) throw SettingError(path, "one of the known words");
         value = found->second;
     }
+    // A list of booleans; empty where the path is absent.
     std::vector<bool> flags(const std::string& path) const;
+    // The number of entries of a list of sections, at `path`.count; 0 where it is absent.
     std::size_t count(const std::string& path) const;
 
   private:
@@ -46,7 +51,8 @@
     Values values_;
 };
 
-// Throws SettingError. That the figures don't contradict each other is the module's to check.
-Settings settingsFrom(const FlatSettings& paths);
+// Throws SettingError. The scheduler itself checks that the figures are in range and do not contradict each
+// other.
+Settings settingsFrom(const FlatSettings& flat);
 
 }  // namespace spokewheel::settings
