--- a/src/policy/limit_share.cpp
+++ b/src/policy/limit_share.cpp
@@ -4,28 +4,28 @@
 
 namespace spokewheel {
 
-void LimitShare::begin(TokenBucket own, int hosts, double fromMs) {
+void LimitShare::start(TokenBucket own, int hosts, double fromMs) {
     own_ = own;
     hosts_ = hosts;
-    filledAtMs_ = fromMs;
+    refilledAtMs_ = fromMs;
 }
 
-void LimitShare::seen(TokenBucket own, int hosts, double nowMs) {
+void LimitShare::setHosts(TokenBucket own, int hosts, double nowMs) {
     refill(nowMs);
-    // The other hosts may have worked since the last request told fewer of them.
-    if (hosts > hosts_) level_ -= earnedUnseen_ * (1 - static_cast<double>(hosts_) / hosts);
+    // The additional hosts may have sent requests ever since the last request that named fewer.
+    if (hosts > hosts_) level_ -= refilledSinceRequest_ * (1 - static_cast<double>(hosts_) / hosts);
     own_ = own;
     hosts_ = hosts;
-    earnedUnseen_ = 0;
+    refilledSinceRequest_ = 0;
 }
 
 void LimitShare::refill(double nowMs) {
-    const double filled = own_.rate * (nowMs - filledAtMs_) / 1000;
-    filledAtMs_ = nowMs;
+    const double refilled = own_.rate * (nowMs - refilledAtMs_) / 1000;
+    refilledAtMs_ = nowMs;
     while (!leases_.empty() && leases_.front().untilMs <= nowMs) leases_.pop_front();
-    const double before = level_;
-    level_ = std::min(std::max(0.0, own_.burst - reserved_), level_ + filled);
-    earnedUnseen_ += std::max(0.0, level_ - before);
+    const double levelBefore = level_;
+    level_ = std::min(std::max(0.0, own_.burst - reserved_), level_ + refilled);
+    refilledSinceRequest_ += std::max(0.0, level_ - levelBefore);
 }
 
 double LimitShare::leased() const {
@@ -35,14 +35,14 @@
 }
 
 void LimitShare::draw(double units) {
-    // The own part first, which fills again: what leases have left is used before they end in most cases.
-    const double ofOwn = std::min(units, std::max(0.0, level_));
-    level_ -= ofOwn;
-    units -= ofOwn;
+    // The own part first, since it refills; leases are mostly used up before they expire.
+    const double fromOwn = std::min(units, std::max(0.0, level_));
+    level_ -= fromOwn;
+    units -= fromOwn;
     for (auto& lease : leases_) {
-        const double part = std::min(units, lease.units);
-        lease.units -= part;
-        units -= part;
+        const double drawn = std::min(units, lease.units);
+        lease.units -= drawn;
+        units -= drawn;
     }
     level_ -= units;
 }
--- a/src/policy/node_window.cpp
+++ b/src/policy/node_window.cpp
@@ -5,36 +5,38 @@
 namespace spokewheel {
 namespace {
 
-constexpr double kNarrowAt = 2.0, kWidenBelow = 0.75;  // of the recent best, and of the first
-constexpr double kBestDrift = 1.001;                   // an answer
-constexpr double kAimPart = 0.3;
-constexpr double kLeastStep = 0.1;  // of the running means
-constexpr int kSettledFrom = 6, kKnownFrom = 10;
+// The window narrows at kNarrowAtMultiple of the recent best latency, and widens below kWidenBelow of that.
+constexpr double kNarrowAtMultiple = 2.0, kWidenBelow = 0.75;
+constexpr double kBestDrift = 1.001;  // growth of the recent best with each response
+constexpr double kNarrowAtTargetUse = 0.3;
+constexpr double kMinSmoothing = 0.1;  // of the running means
+constexpr int kBestFromResponses = 6, kBaselineResponses = 10;
 
 }  // namespace
 
-void NodeWindow::served(const Answer& answer, int inflight, double nowMs) {
-    const double msPerUnit = answer.tookMs / std::max(1.0, answer.units);
-    // A running mean against the lowest that it lately had: a single short answer is luck, not room.
-    ++answers_;
-    const double step = std::max(kLeastStep, 1.0 / answers_);
-    msPerUnit_ += step * (msPerUnit - msPerUnit_);
+void NodeWindow::onServed(const Response& response, int inflight, double nowMs) {
+    const double msPerUnit = response.tookMs / std::max(1.0, response.units);
+    // Compares running means, not single responses: one short response does not show spare capacity.
+    ++responses_;
+    const double smoothing = std::max(kMinSmoothing, 1.0 / responses_);
+    msPerUnit_ += smoothing * (msPerUnit - msPerUnit_);
     bestMsPerUnit_ =
-        answers_ <= kSettledFrom ? msPerUnit_ : std::min(bestMsPerUnit_ * kBestDrift, msPerUnit_);
-    // Where a node was busy from the start its best is no guide; the aims are: time in the node past a part
-    // of the aim leaves no time to choose among what is held.
-    partOfAim_ += step * (answer.tookMs / answer.latencyTargetMs - partOfAim_);
-    const double over = std::max(msPerUnit_ / bestMsPerUnit_ / kNarrowAt, partOfAim_ / kAimPart);
-    if (over < kWidenBelow && inflight + 1 >= size_ - 1) size_ += 1 / size_;
-    if (over > 1 && answer.sentAtMs > narrowedAtMs_) {
-        size_ *= std::clamp(1 / over, 0.5, 0.9);
+        responses_ <= kBestFromResponses ? msPerUnit_ : std::min(bestMsPerUnit_ * kBestDrift, msPerUnit_);
+    // If a node was busy from the start, its best latency is no reference; the latency targets are: the more
+    // of its target a request spends in the node, the less time is left to choose among the waiting ones.
+    targetUse_ += smoothing * (response.tookMs / response.latencyTargetMs - targetUse_);
+    const double overload =
+        std::max(msPerUnit_ / bestMsPerUnit_ / kNarrowAtMultiple, targetUse_ / kNarrowAtTargetUse);
+    if (overload < kWidenBelow && inflight + 1 >= size_ - 1) size_ += 1 / size_;
+    if (overload > 1 && response.sentAtMs > narrowedAtMs_) {
+        size_ *= std::clamp(1 / overload, 0.5, 0.9);
         narrowedAtMs_ = nowMs;
     }
-    size_ = std::clamp(size_, kLeast, kMost);
+    size_ = std::clamp(size_, kMin, kMax);
 }
 
-void NodeWindow::turnedAway() { size_ = std::max(kLeast, size_ / 2); }
+void NodeWindow::onRejected() { size_ = std::max(kMin, size_ / 2); }
 
-bool NodeWindow::known() const { return answers_ >= kKnownFrom; }
+bool NodeWindow::hasBaseline() const { return responses_ >= kBaselineResponses; }
 
 }  // namespace spokewheel
--- a/src/policy/node_window.hpp
+++ b/src/policy/node_window.hpp
@@ -1,33 +1,34 @@
-// How many requests one host may have out at a node. The window follows latency: it widens while the node
-// answers within reach of its recent best, and narrows where answers take far longer or much of their aim.
-// Free of I/O and clocks: times are milliseconds on the host's clock.
+// The number of requests that one host may have in flight at a node. The window follows latency: it widens
+// while responses take little longer than the best that was recently seen, and narrows when they take far
+// longer or use up much of their latency target. Free of I/O and clocks: times are milliseconds on the host's
+// clock.
 #pragma once
 
 namespace spokewheel {
 
 class NodeWindow {
   public:
-    static constexpr double kMost = 24, kLeast = 1;
+    static constexpr double kMax = 24, kMin = 1;
 
-    struct Answer {
+    struct Response {
         double tookMs = 0, units = 0, latencyTargetMs = 0, sentAtMs = 0;
     };
-    // `inflight`: what is out at the node beside this one.
-    void served(const Answer& answer, int inflight, double nowMs);
-    void turnedAway();
+    // `inflight`: the requests in flight at the node beside this one.
+    void onServed(const Response& response, int inflight, double nowMs);
+    void onRejected();
 
     double size() const { return size_; }
     double msPerUnit() const { return msPerUnit_; }
-    // Whether enough answers came to tell a late one.
-    bool known() const;
+    // Whether there were enough responses to tell that one is late.
+    bool hasBaseline() const;
 
   private:
-    static constexpr double kStart = 4;
-    double size_ = kStart;
+    static constexpr double kInitial = 4;
+    double size_ = kInitial;
     double msPerUnit_ = 0, bestMsPerUnit_ = 0;
-    double partOfAim_ = 0;  // that answers take, on the mean
+    double targetUse_ = 0;  // the fraction of their latency target that responses take, as a running mean
     double narrowedAtMs_ = -1e18;
-    int answers_ = 0;
+    int responses_ = 0;
 };
 
 }  // namespace spokewheel
--- a/src/policy/peer_messages.cpp
+++ b/src/policy/peer_messages.cpp
@@ -8,244 +8,268 @@
 namespace spokewheel {
 namespace {
 
-constexpr std::size_t kMost = 256;                                        // bytes of a message, by the wire
-constexpr unsigned char kReport = 2, kNotes = 3, kWords = 4, kQuota = 7;  // 5 and 6: wire/peer/membership.hpp
-constexpr double kStepMs = 8, kAgeStepMs = 100, kParts = 15, kTenths = 10;  // units of the coding
-constexpr unsigned char kQuotaAsk = 1, kQuotaAnswer = 2;
-constexpr int kMostHosts = 100000;
-constexpr std::uint64_t kLargest = 10000000;  // of any figure but a volume's number and a total
-constexpr std::uint64_t kMostTotal = std::uint64_t{1} << 53;
+constexpr std::size_t kMaxMessageBytes = 256;  // as a datagram between peers may carry
+constexpr unsigned char kCreditReport = 2, kPermits = 3, kIntroductions = 4,
+                        kQuota = 7;  // 5 and 6: wire/peer/membership.hpp
+constexpr double kTimeStepMs = 8, kAgeStepMs = 100, kPartSteps = 15,
+                 kUnitSteps = 10;  // resolutions of the encoding
+constexpr unsigned char kQuotaRequest = 1, kQuotaResponse = 2;
+constexpr int kMaxHosts = 100000;
+constexpr std::uint64_t kMaxFigure = 10000000;  // of all but volume numbers and totals
+constexpr std::uint64_t kMaxTotal = std::uint64_t{1} << 53;
 
+// Writes numbers as little-endian base-128 variable-length integers.
 class Writer {
   public:
     explicit Writer(int first = -1) {
         if (first >= 0) bytes += static_cast<char>(first);
     }
-    Writer& whole(std::uint64_t value) {
+    Writer& varint(std::uint64_t value) {
         for (; value >= 128; value >>= 7) bytes += static_cast<char>(value | 128);
         bytes += static_cast<char>(value);
         return *this;
     }
     Writer& number(double value) {
-        return whole(static_cast<std::uint64_t>(std::clamp(value, 0.0, static_cast<double>(kLargest))));
+        return varint(static_cast<std::uint64_t>(std::clamp(value, 0.0, static_cast<double>(kMaxFigure))));
     }
     std::string bytes;
 };
 
+// Reads what Writer writes. `valid` turns false at the first number that cannot be read.
 class Reader {
   public:
     explicit Reader(const std::string& bytes) : bytes_(bytes) {}
     std::uint64_t byte() {
-        if (at_ >= bytes_.size()) return good = false, 0;
-        return static_cast<unsigned char>(bytes_[at_++]);
+        if (position_ >= bytes_.size()) return valid = false, 0;
+        return static_cast<unsigned char>(bytes_[position_++]);
     }
-    std::uint64_t whole() {
+    std::uint64_t varint() {
         std::uint64_t value = 0;
         for (int shift = 0; shift < 64; shift += 7) {
-            const auto b = byte();
-            if (shift == 63 && b > 1) break;  // a 65th bit
-            value |= (b & 127) << shift;
-            if (b < 128) return value;
+            const auto next = byte();
+            if (shift == 63 && next > 1) break;  // more than 64 bits
+            value |= (next & 127) << shift;
+            if (next < 128) return value;
         }
-        return good = false, 0;
+        return valid = false, 0;
     }
     double number() {
-        const auto value = whole();
-        good = good && value <= kLargest;
+        const auto value = varint();
+        valid = valid && value <= kMaxFigure;
         return static_cast<double>(value);
     }
-    bool more() const { return good && at_ < bytes_.size(); }
-    bool good = true;
+    bool hasMore() const { return valid && position_ < bytes_.size(); }
+    bool valid = true;
 
   private:
     const std::string& bytes_;
-    std::size_t at_ = 0;
+    std::size_t position_ = 0;
 };
 
-std::vector<std::string> join(const std::string& head, const std::vector<std::string>& entries) {
+// Packs entries into as few messages as hold them; each message starts with `head`.
+std::vector<std::string> splitMessages(const std::string& head, const std::vector<std::string>& entries) {
     std::vector<std::string> messages = {head};
-    for (const auto& e : entries) {
-        if (messages.back().size() + e.size() > kMost) messages.push_back(head);
-        messages.back() += e;
+    for (const auto& entry : entries) {
+        if (messages.back().size() + entry.size() > kMaxMessageBytes) messages.push_back(head);
+        messages.back() += entry;
     }
     return messages;
 }
 
-std::string pack(const Note& n) {
-    Writer out(static_cast<int>(n.kind));
-    if (n.kind != NoteKind::Heat) out.whole(n.seq);
-    if (n.kind == NoteKind::Ask) {
-        out.number(n.shard).whole(n.requestClass).whole(n.plan);
-        out.number(std::round(kParts * n.full) * (kParts + 1) + std::floor(kParts * n.fair));
-        out.number(std::round(kTenths * n.units))
-            .number(n.latencyTargetMs / kStepMs)
-            .number(n.ttlMs / kStepMs);
-        out.number(static_cast<double>(n.key)).number(n.coldAgeMs < 0 ? 0 : 1 + n.coldAgeMs / kAgeStepMs);
-    } else if (n.kind == NoteKind::Done) {
-        out.number(n.outcome).number(std::round(n.tookMs));
-    } else if (n.kind == NoteKind::Heat) {
-        out.number(n.shard).number(n.heat);
+std::string pack(const PermitMessage& message) {
+    Writer out(static_cast<int>(message.kind));
+    if (message.kind != PermitKind::Load) out.varint(message.seq);
+    if (message.kind == PermitKind::Request) {
+        out.number(message.shard).varint(message.requestClass).varint(message.plan);
+        out.number(std::round(kPartSteps * message.reservedPart) * (kPartSteps + 1) +
+                   std::floor(kPartSteps * message.fairPart));
+        out.number(std::round(kUnitSteps * message.units))
+            .number(message.latencyTargetMs / kTimeStepMs)
+            .number(message.ttlMs / kTimeStepMs);
+        out.number(static_cast<double>(message.key))
+            .number(message.coldAgeMs < 0 ? 0 : 1 + message.coldAgeMs / kAgeStepMs);
+    } else if (message.kind == PermitKind::Done) {
+        out.number(message.outcome).number(std::round(message.tookMs));
+    } else if (message.kind == PermitKind::Load) {
+        out.number(message.shard).number(message.load);
     }
     return out.bytes;
 }
 
-bool inRange(const Note& n, const Settings& s) {
-    constexpr double kHeatMost = 255;
-    return n.requestClass < s.classes.size() && n.plan < s.plans.size() && n.units <= s.maxUnits &&
-           n.ttlMs <= 2 * s.classes[n.requestClass].deadlineMs && n.latencyTargetMs <= n.ttlMs + s.coldMs &&
-           n.coldAgeMs <= s.coldMs && n.outcome <= static_cast<int>(Outcome::NotSent) && n.heat <= kHeatMost;
+// Whether all figures are ones that the settings allow.
+bool inRange(const PermitMessage& message, const Settings& settings) {
+    constexpr double kMaxLoad = 255;
+    return message.requestClass < settings.classes.size() && message.plan < settings.plans.size() &&
+           message.units <= settings.maxUnits &&
+           message.ttlMs <= 2 * settings.classes[message.requestClass].deadlineMs &&
+           message.latencyTargetMs <= message.ttlMs + settings.coldMs &&
+           message.coldAgeMs <= settings.coldMs && message.outcome <= static_cast<int>(Outcome::NotSent) &&
+           message.load <= kMaxLoad;
 }
 
 }  // namespace
 
-std::vector<std::string> pack(const Report& report) {
-    Writer head(kReport);
-    head.whole(report.incarnation).whole(report.subperiod);
+std::vector<std::string> pack(const CreditReport& report) {
+    Writer head(kCreditReport);
+    head.varint(report.incarnation).varint(report.subperiod);
     std::vector<std::string> entries;
-    for (const auto& f : report.figures) {
+    for (const auto& figures : report.figures) {
         Writer out;
-        out.whole(static_cast<std::uint64_t>(f.volume)).number(std::round(f.r)).number(std::round(f.held));
-        out.whole(static_cast<std::uint64_t>(f.total)).number(std::floor(kTenths * f.gift));
+        out.varint(static_cast<std::uint64_t>(figures.volume))
+            .number(std::round(figures.sentUnits))
+            .number(std::round(figures.queuedUnits));
+        out.varint(static_cast<std::uint64_t>(figures.totalSent))
+            .number(std::floor(kUnitSteps * figures.lentUnits));
         entries.push_back(out.bytes);
     }
-    return join(head.bytes, entries);
+    return splitMessages(head.bytes, entries);
 }
 
-std::vector<std::string> pack(const std::vector<Introduction>& words) {
+std::vector<std::string> pack(const std::vector<VolumeIntroduction>& introductions) {
     std::vector<std::string> entries;
-    for (const auto& w : words)
-        entries.push_back(Writer().whole(static_cast<std::uint64_t>(w.volume)).whole(w.plan).bytes);
-    return entries.empty() ? entries : join(Writer(kWords).bytes, entries);
+    for (const auto& introduction : introductions)
+        entries.push_back(
+            Writer().varint(static_cast<std::uint64_t>(introduction.volume)).varint(introduction.plan).bytes);
+    return entries.empty() ? entries : splitMessages(Writer(kIntroductions).bytes, entries);
 }
 
-std::vector<std::string> pack(const std::vector<Note>& notes) {
+std::vector<std::string> pack(const std::vector<PermitMessage>& messages) {
     std::vector<std::string> entries;
-    for (const auto& n : notes) entries.push_back(pack(n));
-    return join(Writer(kNotes).bytes, entries);
+    for (const auto& message : messages) entries.push_back(pack(message));
+    return splitMessages(Writer(kPermits).bytes, entries);
 }
 
 std::vector<std::string> pack(const QuotaMessage& message) {
     std::vector<std::string> entries;
-    for (const auto& ask : message.asks) {
-        Writer out(kQuotaAsk);
-        out.whole(static_cast<std::uint64_t>(ask.volume)).whole(ask.seq).whole(ask.plan).whole(ask.pool);
-        out.number(ask.hosts).number(std::ceil(kTenths * ask.least)).number(std::ceil(kTenths * ask.most));
+    for (const auto& request : message.requests) {
+        Writer out(kQuotaRequest);
+        out.varint(static_cast<std::uint64_t>(request.volume))
+            .varint(request.seq)
+            .varint(request.plan)
+            .varint(request.pool);
+        out.number(request.hosts)
+            .number(std::ceil(kUnitSteps * request.minUnits))
+            .number(std::ceil(kUnitSteps * request.maxUnits));
         entries.push_back(out.bytes);
     }
-    for (const auto& answer : message.answers) {
-        Writer out(kQuotaAnswer);
-        out.whole(static_cast<std::uint64_t>(answer.volume)).whole(answer.seq);
-        out.number(std::floor(kTenths * answer.units)).number(std::ceil(answer.retryAfterMs));
+    for (const auto& response : message.responses) {
+        Writer out(kQuotaResponse);
+        out.varint(static_cast<std::uint64_t>(response.volume)).varint(response.seq);
+        out.number(std::floor(kUnitSteps * response.units)).number(std::ceil(response.retryAfterMs));
         entries.push_back(out.bytes);
     }
-    return entries.empty() ? entries : join(Writer(kQuota).bytes, entries);
+    return entries.empty() ? entries : splitMessages(Writer(kQuota).bytes, entries);
 }
 
-std::optional<QuotaMessage> readQuota(const std::string& bytes, const Settings& settings) {
+std::optional<QuotaMessage> readQuotaMessage(const std::string& bytes, const Settings& settings) {
     Reader in(bytes);
-    if (bytes.size() > kMost || in.byte() != kQuota) return std::nullopt;
+    if (bytes.size() > kMaxMessageBytes || in.byte() != kQuota) return std::nullopt;
     QuotaMessage message;
-    while (in.more()) {
+    while (in.hasMore()) {
         const auto kind = in.byte();
-        const auto volume = static_cast<std::int64_t>(in.whole());
-        const auto seq = in.whole();
-        if (kind == kQuotaAsk) {
-            QuotaAsk ask{volume, seq};
-            ask.plan = in.whole();
-            ask.pool = in.whole();
-            ask.hosts = static_cast<int>(in.number());
-            ask.least = in.number() / kTenths;
-            ask.most = in.number() / kTenths;
-            const bool known = ask.plan < settings.plans.size() && settings.plans[ask.plan].limit > 0;
-            if (!known || ask.pool >= kPools || ask.hosts < 1 || ask.hosts > kMostHosts) return std::nullopt;
-            if (ask.least > settings.maxUnits || ask.most < ask.least) return std::nullopt;
-            message.asks.push_back(ask);
-        } else if (kind == kQuotaAnswer) {
-            QuotaAnswer answer{volume, seq};
-            answer.units = in.number() / kTenths;
-            answer.retryAfterMs = in.number();
-            message.answers.push_back(answer);
+        const auto volume = static_cast<std::int64_t>(in.varint());
+        const auto seq = in.varint();
+        if (kind == kQuotaRequest) {
+            QuotaRequest request{volume, seq};
+            request.plan = in.varint();
+            request.pool = in.varint();
+            request.hosts = static_cast<int>(in.number());
+            request.minUnits = in.number() / kUnitSteps;
+            request.maxUnits = in.number() / kUnitSteps;
+            const bool hasLimit =
+                request.plan < settings.plans.size() && settings.plans[request.plan].limit > 0;
+            if (!hasLimit || request.pool >= kPoolsPerVolume || request.hosts < 1 ||
+                request.hosts > kMaxHosts)
+                return std::nullopt;
+            if (request.minUnits > settings.maxUnits || request.maxUnits < request.minUnits)
+                return std::nullopt;
+            message.requests.push_back(request);
+        } else if (kind == kQuotaResponse) {
+            QuotaResponse response{volume, seq};
+            response.units = in.number() / kUnitSteps;
+            response.retryAfterMs = in.number();
+            message.responses.push_back(response);
         } else {
             return std::nullopt;
         }
     }
-    if (!in.good) return std::nullopt;
+    if (!in.valid) return std::nullopt;
     return message;
 }
 
-std::optional<Report> readReport(const std::string& bytes) {
+std::optional<CreditReport> readCreditReport(const std::string& bytes) {
     Reader in(bytes);
-    if (bytes.size() > kMost || in.byte() != kReport) return std::nullopt;
-    Report report;
+    if (bytes.size() > kMaxMessageBytes || in.byte() != kCreditReport) return std::nullopt;
+    CreditReport report;
     report.incarnation = static_cast<std::uint32_t>(in.number());
-    report.subperiod = in.whole();
-    while (in.more()) {
-        CreditFigures f;
-        f.volume = static_cast<std::int64_t>(in.whole());
-        f.r = in.number();
-        f.held = in.number();
-        const auto total = in.whole();
-        if (total > kMostTotal) return std::nullopt;
-        f.total = static_cast<double>(total);
-        f.gift = in.number() / kTenths;
-        report.figures.push_back(f);
+    report.subperiod = in.varint();
+    while (in.hasMore()) {
+        CreditFigures figures;
+        figures.volume = static_cast<std::int64_t>(in.varint());
+        figures.sentUnits = in.number();
+        figures.queuedUnits = in.number();
+        const auto total = in.varint();
+        if (total > kMaxTotal) return std::nullopt;
+        figures.totalSent = static_cast<double>(total);
+        figures.lentUnits = in.number() / kUnitSteps;
+        report.figures.push_back(figures);
     }
-    if (!in.good) return std::nullopt;
+    if (!in.valid) return std::nullopt;
     return report;
 }
 
-std::optional<std::vector<Introduction>> readIntroductions(const std::string& bytes,
-                                                           const Settings& settings) {
+std::optional<std::vector<VolumeIntroduction>> readIntroductions(const std::string& bytes,
+                                                                 const Settings& settings) {
     Reader in(bytes);
-    if (bytes.size() > kMost || in.byte() != kWords) return std::nullopt;
-    std::vector<Introduction> words;
-    while (in.more()) {
-        Introduction w;
-        w.volume = static_cast<std::int64_t>(in.whole());
-        w.plan = in.whole();
-        if (w.plan >= settings.plans.size()) return std::nullopt;
-        words.push_back(w);
+    if (bytes.size() > kMaxMessageBytes || in.byte() != kIntroductions) return std::nullopt;
+    std::vector<VolumeIntroduction> introductions;
+    while (in.hasMore()) {
+        VolumeIntroduction introduction;
+        introduction.volume = static_cast<std::int64_t>(in.varint());
+        introduction.plan = in.varint();
+        if (introduction.plan >= settings.plans.size()) return std::nullopt;
+        introductions.push_back(introduction);
     }
-    if (!in.good) return std::nullopt;
-    return words;
+    if (!in.valid) return std::nullopt;
+    return introductions;
 }
 
-std::optional<std::vector<Note>> readNotes(const std::string& bytes, const Settings& settings) {
+std::optional<std::vector<PermitMessage>> readPermits(const std::string& bytes, const Settings& settings) {
     Reader in(bytes);
-    if (bytes.size() > kMost || in.byte() != kNotes) return std::nullopt;
-    std::vector<Note> notes;
-    while (in.more()) {
-        Note n;
+    if (bytes.size() > kMaxMessageBytes || in.byte() != kPermits) return std::nullopt;
+    std::vector<PermitMessage> messages;
+    while (in.hasMore()) {
+        PermitMessage message;
         const auto kind = in.byte();
-        if (kind < 1 || kind > static_cast<std::uint64_t>(NoteKind::Heat)) return std::nullopt;
-        n.kind = static_cast<NoteKind>(kind);
-        if (n.kind != NoteKind::Heat) n.seq = in.whole();
-        if (n.kind == NoteKind::Ask) {
-            n.shard = static_cast<int>(in.number());
-            n.requestClass = static_cast<std::size_t>(in.number());
-            n.plan = static_cast<std::size_t>(in.number());
+        if (kind < 1 || kind > static_cast<std::uint64_t>(PermitKind::Load)) return std::nullopt;
+        message.kind = static_cast<PermitKind>(kind);
+        if (message.kind != PermitKind::Load) message.seq = in.varint();
+        if (message.kind == PermitKind::Request) {
+            message.shard = static_cast<int>(in.number());
+            message.requestClass = static_cast<std::size_t>(in.number());
+            message.plan = static_cast<std::size_t>(in.number());
             const auto parts = static_cast<int>(in.number());
-            n.full = parts / static_cast<int>(kParts + 1) / kParts;
-            n.fair = parts % static_cast<int>(kParts + 1) / kParts;
-            if (n.full > 1) return std::nullopt;
-            n.units = in.number() / kTenths;
-            n.latencyTargetMs = in.number() * kStepMs;
-            n.ttlMs = in.number() * kStepMs;
-            n.key = static_cast<std::int64_t>(in.number());
+            message.reservedPart = parts / static_cast<int>(kPartSteps + 1) / kPartSteps;
+            message.fairPart = parts % static_cast<int>(kPartSteps + 1) / kPartSteps;
+            if (message.reservedPart > 1) return std::nullopt;
+            message.units = in.number() / kUnitSteps;
+            message.latencyTargetMs = in.number() * kTimeStepMs;
+            message.ttlMs = in.number() * kTimeStepMs;
+            message.key = static_cast<std::int64_t>(in.number());
             const double age = in.number();
-            n.coldAgeMs = age > 0 ? (age - 1) * kAgeStepMs : -1;
-        } else if (n.kind == NoteKind::Done) {
-            n.outcome = static_cast<int>(in.number());
-            n.tookMs = in.number();
-        } else if (n.kind == NoteKind::Heat) {
-            n.shard = static_cast<int>(in.number());
-            n.heat = in.number();
+            message.coldAgeMs = age > 0 ? (age - 1) * kAgeStepMs : -1;
+        } else if (message.kind == PermitKind::Done) {
+            message.outcome = static_cast<int>(in.number());
+            message.tookMs = in.number();
+        } else if (message.kind == PermitKind::Load) {
+            message.shard = static_cast<int>(in.number());
+            message.load = in.number();
         }
-        if (!inRange(n, settings)) return std::nullopt;
-        notes.push_back(n);
+        if (!inRange(message, settings)) return std::nullopt;
+        messages.push_back(message);
     }
-    if (!in.good) return std::nullopt;
-    return notes;
+    if (!in.valid) return std::nullopt;
+    return messages;
 }
 
 }  // namespace spokewheel
--- a/src/policy/peer_messages.hpp
+++ b/src/policy/peer_messages.hpp
@@ -1,5 +1,5 @@
-// The bytes that hosts send each other: packing and reading only. What they mean and when they are sent is
-// decided in policy.cpp. A message is read whole or not at all.
+// Encoding and decoding of the messages that hosts send each other. When they are sent and what they cause is
+// decided in policy.cpp. A message is accepted as a whole or not at all.
 #pragma once
 
 #include <cstdint>
@@ -11,69 +11,77 @@
 
 namespace spokewheel {
 
-// What a host reports of one volume: r, Q, the running total of units first-sent, and what it lends to the
-// host that is told.
+// What a host reports of one volume; amounts in units. Sent and queued are the figures r and Q of the credit
+// algorithm.
 struct CreditFigures {
     std::int64_t volume = 0;
-    double r = 0, held = 0, total = 0, gift = 0;
+    double sentUnits = 0;    // r: sent for the first time in the last subperiod
+    double queuedUnits = 0;  // Q: waiting at the end of it
+    double totalSent = 0;    // running total of r since the process started
+    double lentUnits = 0;    // to the receiving host
 };
-struct Report {
-    std::uint32_t incarnation = 0;
+struct CreditReport {
+    std::uint32_t incarnation = 0;  // tells the processes of a host apart
     std::uint64_t subperiod = 0;
     std::vector<CreditFigures> figures;
 };
 
-// That a volume is shared by all hosts, which a host that had no request for it can't know; `plan` is its
-// place in the settings' list. A message of its own: a host of an older build drops it and reads the rest.
-struct Introduction {
+// Tells hosts without a request for a volume that all hosts share it. `plan` is an index into the settings'
+// list. It is a message of its own so that a host of an older version drops it and reads the others.
+struct VolumeIntroduction {
     std::int64_t volume = 0;
     std::size_t plan = 0;
 };
 
-// Between a host and a pool of a volume's limit (quota_pool.hpp). `plan` is a place in the settings' list,
-// `pool` tells which of the volume's pools is asked. The answer repeats volume and sequence; units of 0 are a
-// refusal.
-struct QuotaAsk {
+// Between a host and a pool of a volume's limit (quota_pool.hpp). `plan` is an index into the settings' list,
+// `pool` the number of the volume's pool. The response repeats volume and sequence number.
+struct QuotaRequest {
     std::int64_t volume = 0;
     std::uint64_t seq = 0;
     std::size_t plan = 0, pool = 0;
     int hosts = 1;
-    double least = 0, most = 0;  // units
+    double minUnits = 0, maxUnits = 0;
 };
-struct QuotaAnswer {
+struct QuotaResponse {
     std::int64_t volume = 0;
     std::uint64_t seq = 0;
-    double units = 0, retryAfterMs = 0;
+    double units = 0;  // 0: refused
+    double retryAfterMs = 0;
 };
 struct QuotaMessage {
-    std::vector<QuotaAsk> asks;
-    std::vector<QuotaAnswer> answers;
+    std::vector<QuotaRequest> requests;
+    std::vector<QuotaResponse> responses;
 };
 
-// Between a host and the keeper of a node; `kind` and `plan` are places in the settings' lists.
-enum class NoteKind { Ask = 1, Grant, Ack, Done, Heat };
-struct Note {
-    NoteKind kind = NoteKind::Ack;
-    std::uint64_t seq = 0;  // all but Heat
-    int shard = -1;         // Ask, Heat
+// Between a host and the coordinator of a node: a host requests a permit to send, and reports when it no
+// longer uses the place in the node (Done). Load is announced by the coordinator to all hosts.
+enum class PermitKind { Request = 1, Grant, Ack, Done, Load };
+struct PermitMessage {
+    PermitKind kind = PermitKind::Ack;
+    std::uint64_t seq = 0;  // of the request; all but Load
+    int shard = -1;         // Request, Load
     int outcome = 0;        // Done
     double tookMs = 0;      // Done
-    double heat = 0;        // Heat
-    // Ask: the parts of its units that are due, between 0 and 1; a negative age stands for a warm node.
+    double load = 0;        // Load
+    // Request only. `requestClass` and `plan` are indexes into the settings' lists. `reservedPart` and
+    // `fairPart`, 0 to 1, are the parts of its units that the volume is entitled to. `coldAgeMs` is the time
+    // since the node started; negative where the node is warm.
     std::size_t requestClass = 0, plan = 0;
-    double full = 0, fair = 0, units = 0, latencyTargetMs = 0, ttlMs = 0, coldAgeMs = -1;
+    double reservedPart = 0, fairPart = 0, units = 0, latencyTargetMs = 0, ttlMs = 0, coldAgeMs = -1;
     std::int64_t key = 0;
 };
 
-std::vector<std::string> pack(const Report& report);
-std::vector<std::string> pack(const std::vector<Introduction>& words);
-std::vector<std::string> pack(const std::vector<Note>& notes);
+// Encode into messages that each fit into a datagram.
+std::vector<std::string> pack(const CreditReport& report);
+std::vector<std::string> pack(const std::vector<VolumeIntroduction>& introductions);
+std::vector<std::string> pack(const std::vector<PermitMessage>& messages);
 std::vector<std::string> pack(const QuotaMessage& message);
-std::optional<Report> readReport(const std::string& bytes);
-std::optional<std::vector<Introduction>> readIntroductions(const std::string& bytes,
-                                                           const Settings& settings);
-// Nothing where a figure is outside what the settings allow.
-std::optional<QuotaMessage> readQuota(const std::string& bytes, const Settings& settings);
-std::optional<std::vector<Note>> readNotes(const std::string& bytes, const Settings& settings);
+// Decode untrusted bytes; nothing if they are of another kind, cannot be read, or hold a figure outside what
+// the settings allow.
+std::optional<CreditReport> readCreditReport(const std::string& bytes);
+std::optional<std::vector<VolumeIntroduction>> readIntroductions(const std::string& bytes,
+                                                                 const Settings& settings);
+std::optional<QuotaMessage> readQuotaMessage(const std::string& bytes, const Settings& settings);
+std::optional<std::vector<PermitMessage>> readPermits(const std::string& bytes, const Settings& settings);
 
 }  // namespace spokewheel
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -1,6 +1,7 @@
-// The decisions of spokewheel, all of them. Interface: include/spokewheel/scheduler.hpp.
-// Plain state: state.hpp; bytes between hosts: peer_messages.hpp. Sections: membership, limit credits, node
-// windows, held queues and ordering, kept nodes, attempts and answers, peer reports, timers. docs/design.md.
+// All decisions of the scheduler. Interface: include/spokewheel/scheduler.hpp; plain state: state.hpp;
+// messages between hosts: peer_messages.hpp. Sections: membership, limit credits, quota leases, node windows,
+// queues and ordering, coordinated nodes, attempts and results, credit reports, timers. The design is in
+// docs/design.md.
 #include <algorithm>
 #include <cmath>
 #include <list>
@@ -9,6 +10,7 @@
 #include <tuple>
 #include <unordered_map>
 
+#include "active_hosts.hpp"
 #include "limit_parts.hpp"
 #include "peer_messages.hpp"
 #include "quota_pool.hpp"
@@ -16,1052 +18,1179 @@
 #include "settings_check.hpp"
 #include "spokewheel/scheduler.hpp"
 #include "state.hpp"
-#include "volume_users.hpp"
 
 namespace spokewheel {
 namespace {
 
-constexpr double kPeriodMs = 2000;
-constexpr double kFirstPeerWaitMs = 50, kMostPeerWaitMs = kSubperiodMs / 2;
-constexpr double kFinishPart = 0.5, kFairStep = 0.3;
-constexpr double kSeekGain = 1.6;  // a node does a repeat of what it just took for about half the work
-constexpr double kSuspectRetryMs = 300, kCanaryMs = 500;
-constexpr double kListAnswerMs = 4000, kListAgainMs = 700, kListJitter = 1.5;  // of asking for the list
-constexpr double kLostMs = 250, kLostTimes = 8;         // after which a first attempt's answer counts as lost
-constexpr int kRefusedCounts = 2, kDroppedSuspect = 3;  // connections dropped with no answer in between
-constexpr double kCrowdedPart = 0.5;                    // of the requests that can be open at once
-constexpr double kBeginLateMs = 500;  // an attempt begins as much later than it is decided, at most
-constexpr double kForgetMs = 30000;   // idle volumes and unheard peers are dropped; parts are full by then
-constexpr double kIdleSubs = 2;       // without a request, after which word of others' work voids a share
-constexpr std::size_t kGuestsMost = 4096;  // volumes known, beyond which one from a peer's word is not taken
-constexpr std::size_t kStrangersMost = 8;  // hosts beyond a volume's number whose word of it is kept
-// Nodes kept by one host for all: the shares of a cold node's budget that its keeper and two stand-ins have.
-constexpr std::array<double, 3> kKeeperParts = {0.7, 0.2, 0.1};
-constexpr double kAskWaitMs = 100, kAskWaitLeastMs = 30, kAskWaitMostMs = 200;  // until a keeper is deaf
-constexpr double kAskAgainMs = 500, kDeafMs = 2000, kLeaseMs = 3000;
-constexpr double kHeatMs = 1000, kHeatStep = 4, kHeatMost = 255;  // steps to a doubling of time in a node
+constexpr double kCreditPeriodMs = 2000;  // T of the credit algorithm
+// The wait for the peers' reports after the start of a subperiod: twice their usual delay, which is first
+// taken to be half of kInitialPeerWaitMs.
+constexpr double kInitialPeerWaitMs = 50, kMaxPeerWaitMs = kSubperiodMs / 2;
+// A request is expected to finish after kFinishEstimateFactor of its usual time in the node.
+constexpr double kFinishEstimateFactor = 0.5, kFairRateSmoothing = 0.3;
+constexpr double kRecentKeyGain =
+    1.6;  // a node repeats a request that it just served with about half the work
+// Between attempts at a node that may have restarted, and between trials at a silent one.
+constexpr double kSuspectRetryMs = 300, kTrialIntervalMs = 500;
+// Subscribing to the node list: time-out, delay after a failure, and its jitter as a multiple of the delay.
+constexpr double kListTimeoutMs = 4000, kListRetryMs = 700, kListRetryJitter = 1.5;
+// The response to a first attempt counts as lost after this multiple of its usual time, and this minimum.
+constexpr double kMinLostAnswerMs = 250, kLostAnswerFactor = 8;
+// A node is suspect after so many lost connections without a response in between; a refused one counts twice.
+constexpr int kRefusedConnectionWeight = 2, kSuspectDropCount = 3;
+constexpr double kCrowdedShare = 0.5;     // of the requests that can be open at once
+constexpr double kMaxBeginDelayMs = 500;  // between the decision for an attempt and its first byte
+// Idle volumes and peers without reports are dropped after this; their own parts are full again by then.
+constexpr double kIdleForgetMs = 30000;
+constexpr double kIdleSubperiods = 2;  // without a request, before other hosts' reports void a volume's share
+// Volumes known to this host, beyond which it does not join one that a peer introduces.
+constexpr std::size_t kMaxIntroducedVolumes = 4096;
+constexpr std::size_t kMaxExtraPeers = 8;  // whose reports are kept beyond a volume's number of hosts
+// Coordinated nodes: the fractions of a cold node's budget that its coordinator and two stand-ins decide
+// about.
+constexpr std::array<double, 3> kCoordinatorShares = {0.7, 0.2, 0.1};
+// After which a coordinator that did not acknowledge a permit request counts as unresponsive.
+constexpr double kInitialPermitWaitMs = 100, kMinPermitWaitMs = 30, kMaxPermitWaitMs = 200;
+constexpr double kPermitRetryMs = 500, kUnresponsiveMs = 2000, kPermitLeaseMs = 3000;
+// Announced loads: at most one in kLoadIntervalMs; kLoadStepsPerDoubling steps double the time in the node.
+constexpr double kLoadIntervalMs = 1000, kLoadStepsPerDoubling = 4, kMaxLoad = 255;
 
 }  // namespace
 
 class Scheduler::Impl {
   public:
-    Impl(const Settings& settings, std::uint64_t seed) : set_(settings), random_(seed) {
-        validate(set_);
+    Impl(const Settings& settings, std::uint64_t seed) : settings_(settings), random_(seed) {
+        validate(settings_);
         incarnation_ = static_cast<std::uint32_t>(random_() & 0xffff);
         seq_ = random_() & 0xfffff;
-        shared_ = set_.maySendToPeers && set_.hosts > NodeWindow::kMost;
+        coordinated_ = settings_.maySendToPeers && settings_.hosts > NodeWindow::kMax;
     }
 
     std::vector<Action> step(double now, const std::vector<Event>& events) {
-        out_.clear();
+        actions_.clear();
         now_ = now;
         if (startedAt_ < 0) {
             startedAt_ = now_;
             quotaPool_ = QuotaPool(now_);
-            sub_ = subperiodOf(now_);
-            if (set_.subscribe) askAt_ = now_;
+            subperiod_ = subperiodOf(now_);
+            if (settings_.subscribe) subscribeAt_ = now_;
         }
-        for (const auto& event : events) std::visit([this](const auto& e) { on(e); }, event);
-        boundary();
-        settleCredits();
-        if (crowded()) shedStarved();
-        learnFair();
-        followList();
+        for (const auto& event : events) std::visit([this](const auto& one) { on(one); }, event);
+        startSubperiodIfDue();
+        splitCreditsIfDue();
+        if (isCrowded()) refuseBeyondLimit();
+        updateFairRate();
+        updateSubscription();
         expire();
         dispatch();
-        if (askPools()) dispatch();
-        tellHeat();
-        flushNotes();
-        arm();
-        return std::move(out_);
+        if (requestLeases()) dispatch();
+        announceLoads();
+        flushPermits();
+        setTimer();
+        return std::move(actions_);
     }
 
     bool mayBegin(double now, const std::string& id, int attempt) const {
-        const auto found = byId_.find(id);
-        if (found == byId_.end() || found->second->ended || attempt < 0) return false;
-        const Held& q = *found->second;
-        if (static_cast<std::size_t>(attempt) >= q.sent.size()) return false;
-        const Sent& s = q.sent[static_cast<std::size_t>(attempt)];
-        const bool counted = s.cold || !cold(*s.node);
-        return s.open && s.node->lifecycle == Lifecycle::Ready && counted && now < q.deadline &&
-               !forgottenByNodes(q, now);
+        const auto found = requestsById_.find(id);
+        if (found == requestsById_.end() || found->second->ended || attempt < 0) return false;
+        const PendingRequest& pending = *found->second;
+        if (static_cast<std::size_t>(attempt) >= pending.attempts.size()) return false;
+        const SentAttempt& sent = pending.attempts[static_cast<std::size_t>(attempt)];
+        const bool allowedWhileCold = sent.countedAsCold || !isCold(*sent.node);
+        return sent.open && sent.node->lifecycle == Lifecycle::Ready && allowedWhileCold &&
+               now < pending.deadline && !keyMayBeForgotten(pending, now);
     }
 
-    std::uint64_t unreadableMessages() const { return unreadable_; }
+    std::uint64_t unreadableMessages() const { return unreadableMessages_; }
     std::vector<LimitAccount> limitAccounts() const {
-        std::vector<LimitAccount> notes;
-        for (const auto& [id, v] : volumes_)
-            if (v.limited()) notes.push_back(v.note(LimitAccount::Moment::Asked));
-        return notes;
+        std::vector<LimitAccount> accounts;
+        for (const auto& [id, volume] : volumes_)
+            if (volume.hasLimit()) accounts.push_back(volume.account(LimitAccount::Moment::Asked));
+        return accounts;
     }
 
   private:
     // ---------------------------------------------------------------- membership
-    // Ask sites: again after a failure, or when an answer stays out, spaced and jittered so that hosts
-    // which failed together don't ask together.
-    void followList() {
-        if (now_ >= askAt_) {
-            out_.emplace_back(Subscribe{});
-            askAt_ = now_ + kListAnswerMs;
+    // Subscribes to the node list; again after a failure or a time-out, with jitter so that hosts that failed
+    // together do not retry together.
+    void updateSubscription() {
+        if (now_ >= subscribeAt_) {
+            actions_.emplace_back(Subscribe{});
+            subscribeAt_ = now_ + kListTimeoutMs;
         }
-        wake(askAt_);
+        wakeAt(subscribeAt_);
     }
     void on(const ListUpdate& update) {
         if (update.form == ListForm::Failed) {
-            askAt_ = std::min(askAt_, now_ + kListAgainMs * (1 + kListJitter * uniform()));
+            subscribeAt_ = std::min(subscribeAt_, now_ + kListRetryMs * (1 + kListRetryJitter * uniform()));
             return;
         }
-        if (update.form != ListForm::Cached) askAt_ = 1e18;
-        std::set<std::string> named;
+        if (update.form != ListForm::Cached) subscribeAt_ = 1e18;
+        std::set<std::string> listed;
         for (const auto& entry : update.entries) {
-            auto& n = nodes_[entry.node];
-            if (!n.id.empty()) byShard_[n.shard].erase(entry.node);
-            const int before = std::exchange(n.shard, entry.shard);
-            n.id = entry.node;
-            n.zone = entry.zone;
-            n.lifecycle = entry.lifecycle;
-            if (entry.cameUpMs > n.coldFrom) {  // that is why it dropped connections
-                n.coldFrom = entry.cameUpMs;
-                n.suspect = false, n.dropped = 0;
+            auto& node = nodes_[entry.node];
+            if (!node.id.empty()) nodesByShard_[node.shard].erase(entry.node);
+            const int shardBefore = std::exchange(node.shard, entry.shard);
+            node.id = entry.node;
+            node.zone = entry.zone;
+            node.lifecycle = entry.lifecycle;
+            if (entry.cameUpMs > node.coldSince) {  // a restart explains the lost connections
+                node.coldSince = entry.cameUpMs;
+                node.suspect = false, node.droppedConnections = 0;
             }
-            byShard_[n.shard].insert(n.id);
-            if (n.lifecycle == Lifecycle::Gone) leaving_.insert(n.id);
-            chooseHolder(before);
-            chooseHolder(n.shard);
-            if (update.form != ListForm::Delta) named.insert(entry.node);
+            nodesByShard_[node.shard].insert(node.id);
+            if (node.lifecycle == Lifecycle::Gone) goneNodes_.insert(node.id);
+            selectActiveNode(shardBefore);
+            selectActiveNode(node.shard);
+            if (update.form != ListForm::Delta) listed.insert(entry.node);
         }
         if (update.form != ListForm::Delta)
-            for (auto& [id, n] : nodes_) {
-                if (named.count(id)) continue;
-                n.lifecycle = Lifecycle::Gone;
-                leaving_.insert(id);
-                chooseHolder(n.shard);
+            for (auto& [id, node] : nodes_) {
+                if (listed.count(id)) continue;
+                node.lifecycle = Lifecycle::Gone;
+                goneNodes_.insert(id);
+                selectActiveNode(node.shard);
             }
-        forgetGone();
+        removeGoneNodes();
     }
-    // Of the nodes of a shard that are ready the one that came up last holds it.
-    void chooseHolder(int shard) {
-        Node* holder = nullptr;
-        if (const auto found = byShard_.find(shard); found != byShard_.end())
+    // The active node of a shard is the one that started last among those that are ready.
+    void selectActiveNode(int shard) {
+        Node* active = nullptr;
+        if (const auto found = nodesByShard_.find(shard); found != nodesByShard_.end())
             for (const auto& id : found->second) {
-                auto& n = nodes_.at(id);
-                if (n.lifecycle == Lifecycle::Ready && (!holder || n.coldFrom > holder->coldFrom))
-                    holder = &n;
+                auto& node = nodes_.at(id);
+                if (node.lifecycle == Lifecycle::Ready && (!active || node.coldSince > active->coldSince))
+                    active = &node;
             }
-        if (holder) holders_[shard] = holder;
-        else holders_.erase(shard);
-    }
-    // Nodes that are gone are dropped once nothing is out at them.
-    void forgetGone() {
-        for (auto it = leaving_.begin(); it != leaving_.end();) {
-            const auto& n = nodes_.at(*it);
-            if (n.lifecycle == Lifecycle::Gone && n.inflight > 0) {
+        if (active) activeNodes_[shard] = active;
+        else activeNodes_.erase(shard);
+    }
+    // Drops nodes that are gone once nothing is in flight at them.
+    void removeGoneNodes() {
+        for (auto it = goneNodes_.begin(); it != goneNodes_.end();) {
+            const auto& node = nodes_.at(*it);
+            if (node.lifecycle == Lifecycle::Gone && node.inflight > 0) {
                 ++it;
                 continue;
             }
-            if (n.lifecycle == Lifecycle::Gone) {
-                const auto shard = byShard_.find(n.shard);
-                shard->second.erase(n.id);
-                if (shard->second.empty()) byShard_.erase(shard);
+            if (node.lifecycle == Lifecycle::Gone) {
+                const auto shard = nodesByShard_.find(node.shard);
+                shard->second.erase(node.id);
+                if (shard->second.empty()) nodesByShard_.erase(shard);
                 nodes_.erase(*it);
             }
-            it = leaving_.erase(it);
+            it = goneNodes_.erase(it);
         }
     }
 
     // ---------------------------------------------------------------- limit credits
-    void refill(Volume& v) {
-        const double seconds = (now_ - v.filledAt) / 1000;
-        v.filledAt = now_;
-        v.level = std::min(v.plan->limitBurst, v.level + v.plan->limit * seconds);
-        v.share.refill(now_);
-    }
-    bool mayDraw(Volume& v, double units) {
-        if (!v.limited()) return true;
-        refill(v);
-        const bool credit = v.credit - v.r >= units;
-        const bool share = v.share.available() >= units;
-        if (credit && !share) v.quota.want();
-        quotaWanted_ = quotaWanted_ || v.quota.wanted();
-        // Where there are pools, one that was just asked may still have it.
-        v.starved = v.starved || !credit || (!share && !pooled());
-        v.wasShort = v.wasShort || !credit || !share;
-        return credit && share;
-    }
-    void note(const Volume& v, LimitAccount::Moment moment) {
-        if (set_.reportLimitAccounts && v.limited()) out_.emplace_back(v.note(moment));
-    }
-    void noteShortage(Volume& v) {
-        if (!std::exchange(v.wasShort, false) || now_ < v.noteShortFrom) return;
-        v.noteShortFrom = now_ + kPeriodMs;
-        note(v, LimitAccount::Moment::Short);
-    }
-    void draw(Volume& v, double units) {
-        if (!v.limited()) return;
-        v.level -= units;
-        v.r += units;
-        v.total += std::ceil(units);
-        v.share.draw(units);
-        if (set_.reportsAttemptBegun) v.share.reserve(units);
-    }
-    // What was drawn for the request is with its node, or never will be.
-    void release(Held& q) {
-        if (q.drawn && !std::exchange(q.begun, true) && set_.reportsAttemptBegun && q.volume->limited())
-            q.volume->share.release(q.request.units);
+    void refill(Volume& volume) {
+        const double seconds = (now_ - volume.refilledAt) / 1000;
+        volume.refilledAt = now_;
+        volume.level = std::min(volume.plan->limitBurst, volume.level + volume.plan->limit * seconds);
+        volume.limitShare.refill(now_);
+    }
+    // Whether a request may be sent within the volume's limit: both the credit and this host's parts of the
+    // limit have to cover it. Notes what is short, for leases and reports.
+    bool mayDrawLimit(Volume& volume, double units) {
+        if (!volume.hasLimit()) return true;
+        refill(volume);
+        const bool enoughCredit = volume.credit - volume.sentUnits >= units;
+        const bool enoughShare = volume.limitShare.available() >= units;
+        if (enoughCredit && !enoughShare) volume.quota.markWanted();
+        quotaWanted_ = quotaWanted_ || volume.quota.wanted();
+        // With pools a missing share is not a shortage yet: a lease may be on its way.
+        volume.needsCredit = volume.needsCredit || !enoughCredit || (!enoughShare && !usesPools());
+        volume.wasShortOfLimit = volume.wasShortOfLimit || !enoughCredit || !enoughShare;
+        return enoughCredit && enoughShare;
+    }
+    void reportAccount(const Volume& volume, LimitAccount::Moment moment) {
+        if (settings_.reportLimitAccounts && volume.hasLimit()) actions_.emplace_back(volume.account(moment));
+    }
+    void reportShortage(Volume& volume) {
+        if (!std::exchange(volume.wasShortOfLimit, false) || now_ < volume.nextShortageReportAt) return;
+        volume.nextShortageReportAt = now_ + kCreditPeriodMs;
+        reportAccount(volume, LimitAccount::Moment::Short);
+    }
+    void drawLimit(Volume& volume, double units) {
+        if (!volume.hasLimit()) return;
+        volume.level -= units;
+        volume.sentUnits += units;
+        volume.totalSent += std::ceil(units);
+        volume.limitShare.draw(units);
+        if (settings_.reportsAttemptBegun) volume.limitShare.reserve(units);
+    }
+    // The attempt has begun, or never will: the units drawn for the request are no longer reserved.
+    void releaseReservation(PendingRequest& pending) {
+        if (pending.limitDrawn && !std::exchange(pending.begun, true) && settings_.reportsAttemptBegun &&
+            pending.volume->hasLimit())
+            pending.volume->limitShare.release(pending.request.units);
     }
     void on(const AttemptBegun& begun) {
-        if (const auto found = byId_.find(begun.id); found != byId_.end()) release(*found->second);
-    }
-    void boundary() {
-        const auto sub = subperiodOf(now_);
-        wake((static_cast<double>(sub) + 1) * kSubperiodMs);
-        if (sub <= sub_) return;
-        sub_ = sub;
-        boundaryAt_ = now_;
-        due_ = true;
-        dropIdle();
-        for (auto& [id, v] : volumes_) {
-            v.held = 0;
-            if (!v.limited()) continue;
-            refill(v);
-            noteShortage(v);
-            v.credit = std::max(0.0, v.credit - v.r);
-            v.rLast = v.r;
-            v.r = 0;
+        if (const auto found = requestsById_.find(begun.id); found != requestsById_.end())
+            releaseReservation(*found->second);
+    }
+    // At the start of a subperiod: takes over the figures r and Q of the last one and reports them.
+    void startSubperiodIfDue() {
+        const auto subperiod = subperiodOf(now_);
+        wakeAt((static_cast<double>(subperiod) + 1) * kSubperiodMs);
+        if (subperiod <= subperiod_) return;
+        subperiod_ = subperiod;
+        subperiodStartedAt_ = now_;
+        splitDue_ = true;
+        removeIdle();
+        for (auto& [id, volume] : volumes_) {
+            volume.queuedUnits = 0;
+            if (!volume.hasLimit()) continue;
+            refill(volume);
+            reportShortage(volume);
+            volume.credit = std::max(0.0, volume.credit - volume.sentUnits);
+            volume.sentLastSubperiod = volume.sentUnits;
+            volume.sentUnits = 0;
         }
-        for (const auto& [seq, q] : held_)
-            if (!q->drawn) q->volume->held += q->request.units;
-        report();
-    }
-    // Not heard of this subperiod though it was busy in the last.
-    bool silent(const PeerView& view) const { return view.sub != sub_ && view.r + view.held > 0; }
-    void settleCredits() {
-        if (!due_) return;
-        bool all = true;
-        for (const auto& [id, v] : volumes_)
-            for (const auto& [rank, view] : v.peers) all = all && !silent(view);
-        const double until = boundaryAt_ + std::min(kMostPeerWaitMs, 2 * peerDelay_);
-        if (!all && now_ < until) return wake(until);
-        due_ = false;
-        for (auto& [id, v] : volumes_)
-            if (v.limited()) split(v);
-        shedStarved();
-    }
-    // So many requests are open that clients may soon find no place here.
-    bool crowded() const { return set_.maxOpen > 0 && byId_.size() > kCrowdedPart * set_.maxOpen; }
-    // Departure: of what waits for credit, what this host's part of the limit can't reach while it is worth
-    // being served is refused now, with the time at which it could be, and not held to its end. Should keep a
-    // volume beyond its limit from taking the places of all clients; wastes late answers that a lull allows.
-    void shedStarved() {
-        std::map<std::int64_t, std::vector<std::tuple<double, double, std::uint64_t, Held*>>> waiting;
-        for (auto& [seq, q] : held_)
-            if (!q->drawn && q->volume->limited())
-                waiting[q->request.volume].emplace_back(-worth(*q, now_), q->aimAt, seq, q);
-        for (auto& [volume, queue] : waiting) {
-            const auto& v = volumes_.at(volume);
-            std::sort(queue.begin(), queue.end());
+        for (const auto& [seq, pending] : queue_)
+            if (!pending->limitDrawn) pending->volume->queuedUnits += pending->request.units;
+        reportCredits();
+    }
+    // The peer has not reported this subperiod though it had work in the last one.
+    bool isSilent(const PeerFigures& figures) const {
+        return figures.subperiod != subperiod_ && figures.sentUnits + figures.queuedUnits > 0;
+    }
+    // Splits the credits once all peers with work have reported, or the wait for them is over.
+    void splitCreditsIfDue() {
+        if (!splitDue_) return;
+        bool allReported = true;
+        for (const auto& [id, volume] : volumes_)
+            for (const auto& [rank, figures] : volume.peers) allReported = allReported && !isSilent(figures);
+        const double waitUntil = subperiodStartedAt_ + std::min(kMaxPeerWaitMs, 2 * peerDelay_);
+        if (!allReported && now_ < waitUntil) return wakeAt(waitUntil);
+        splitDue_ = false;
+        for (auto& [id, volume] : volumes_)
+            if (volume.hasLimit()) splitCredit(volume);
+        refuseBeyondLimit();
+    }
+    // So many requests are open that the host may soon have no room for new ones.
+    bool isCrowded() const {
+        return settings_.maxOpen > 0 && requestsById_.size() > kCrowdedShare * settings_.maxOpen;
+    }
+    // Refuses waiting requests that this host's share of the limit cannot reach while serving them is useful,
+    // with the time at which it could. Deviates from the design, which holds them to their end:
+    // a volume beyond its limit must not take the room of all clients. The cost: late responses that a lull
+    // in the traffic would have allowed.
+    void refuseBeyondLimit() {
+        std::map<std::int64_t, std::vector<std::tuple<double, double, std::uint64_t, PendingRequest*>>>
+            waiting;
+        for (auto& [seq, pending] : queue_)
+            if (!pending->limitDrawn && pending->volume->hasLimit())
+                waiting[pending->request.volume].emplace_back(-expectedValue(*pending, now_),
+                                                              pending->latencyTargetAt, seq, pending);
+        for (auto& [volumeId, pendingRequests] : waiting) {
+            const auto& volume = volumes_.at(volumeId);
+            std::sort(pendingRequests.begin(), pendingRequests.end());
             double units = 0;
-            for (const auto& [value, aimAt, seq, q] : queue) {
-                const double reached = 1000 * ((units + q->request.units) / v.part - v.level) / v.plan->limit;
-                if (now_ + reached <= usefulUntil(*q)) units += q->request.units;
-                else refuse(*q, reached);
+            for (const auto& [negatedValue, latencyTargetAt, seq, pending] : pendingRequests) {
+                const double servableInMs = 1000 *
+                                            ((units + pending->request.units) / volume.share - volume.level) /
+                                            volume.plan->limit;
+                if (now_ + servableInMs <= usefulUntil(*pending)) units += pending->request.units;
+                else refuse(*pending, servableInMs);
             }
         }
     }
-    double usefulUntil(const Held& q) const { return now_ < q.aimAt || crowded() ? q.aimAt : giveUpAt(q); }
+    double usefulUntil(const PendingRequest& pending) const {
+        return now_ < pending.latencyTargetAt || isCrowded() ? pending.latencyTargetAt : refuseAt(pending);
+    }
 
-    // As many as its requests tell of, or more where more report work: then its requests have moved.
-    int hostsAtWork(const Volume& v) const {
-        int working = 1;
-        for (const auto& [rank, view] : v.peers) working += view.sub + 1 >= sub_ && view.r + view.held > 0;
-        return std::max(v.hosts, working);
+    // The number of hosts that requests name, or of those that report work if more do: the volume's requests
+    // have moved then.
+    int activeHostCount(const Volume& volume) const {
+        int active = 1;
+        for (const auto& [rank, figures] : volume.peers)
+            active += figures.subperiod + 1 >= subperiod_ && figures.sentUnits + figures.queuedUnits > 0;
+        return std::max(volume.hosts, active);
     }
 
-    // The design's split: half of the rebuilt level evenly, half by w = Q + r, both floored. Hosts that have
-    // not made themselves known count as idle: of many that share a volume most have no work for it.
-    void split(Volume& v) {
-        refill(v);
-        const double b = hostsAtWork(v), w = v.held + v.rLast;
-        double d = std::max(0.0, v.level + v.r), sum = w;
-        int quiet = 0;
-        for (auto& [rank, view] : v.peers)
-            if (silent(view)) ++quiet;
-            else sum += view.r + view.held;
-        // One beyond the volume's number is silent since its requests moved, not since its word was lost.
-        quiet = std::min(quiet, v.hosts - 1);
-        const double part = std::floor(d / b);
-        d = std::max(0.0, d - quiet * part);
-        sum += quiet * part;
-        if (v.first || sum <= 0) v.credit = std::floor(d / b);
-        else v.credit = std::floor(d / (2 * b)) + std::floor(d * w / (2 * sum));
-        v.first = false;
-        v.part = sum > 0 ? std::max(1 / b, w / sum) : 1 / b;
+    // Splits the rebuilt level of the volume's bucket: half of it evenly, half by the weights w = Q + r, both
+    // rounded down. Hosts that never reported count as idle, since most of the many hosts that share a volume
+    // have no work for it.
+    void splitCredit(Volume& volume) {
+        refill(volume);
+        const double hostCount = activeHostCount(volume),
+                     ownWeight = volume.queuedUnits + volume.sentLastSubperiod;
+        double available = std::max(0.0, volume.level + volume.sentUnits), totalWeight = ownWeight;
+        int silentPeers = 0;
+        for (auto& [rank, figures] : volume.peers)
+            if (isSilent(figures)) ++silentPeers;
+            else totalWeight += figures.sentUnits + figures.queuedUnits;
+        // A peer beyond the volume's number of hosts is silent because its requests moved, not because its
+        // report was lost.
+        silentPeers = std::min(silentPeers, volume.hosts - 1);
+        const double evenShare = std::floor(available / hostCount);
+        available = std::max(0.0, available - silentPeers * evenShare);
+        totalWeight += silentPeers * evenShare;
+        if (volume.firstSplit || totalWeight <= 0) volume.credit = std::floor(available / hostCount);
+        else
+            volume.credit = std::floor(available / (2 * hostCount)) +
+                            std::floor(available * ownWeight / (2 * totalWeight));
+        volume.firstSplit = false;
+        volume.share = totalWeight > 0 ? std::max(1 / hostCount, ownWeight / totalWeight) : 1 / hostCount;
     }
 
     // ---------------------------------------------------------------- quota leases
-    bool pooled() const { return set_.maySendToPeers && set_.hosts > 1; }
-    LimitParts parts(const Volume& v) const {
-        return partsOf(*v.plan, hostsAtWork(v), set_.maxUnits, pooled());
+    bool usesPools() const { return settings_.maySendToPeers && settings_.hosts > 1; }
+    LimitParts limitParts(const Volume& volume) const {
+        return splitLimit(*volume.plan, activeHostCount(volume), settings_.maxUnits, usesPools());
     }
     int poolHost(std::int64_t volume, std::size_t pool) const {
-        return spokewheel::poolHost(volume, pool, set_.hosts);
+        return spokewheel::poolHost(volume, pool, settings_.hosts);
     }
-    // For what waits and its own part does not cover. True: something was leased at once.
-    bool askPools() {
-        if (!std::exchange(quotaWanted_, false) || !pooled()) return false;
+    // Requests leases for waiting requests that the own part does not cover. True: a pool of this host gave
+    // one.
+    bool requestLeases() {
+        if (!std::exchange(quotaWanted_, false) || !usesPools()) return false;
         std::map<Volume*, std::vector<double>> waiting;
-        for (const auto& [seq, q] : held_)
-            if (!q->drawn && q->volume->quota.wanted() && now_ >= q->notBefore)
-                waiting[q->volume].push_back(q->request.units);
+        for (const auto& [seq, pending] : queue_)
+            if (!pending->limitDrawn && pending->volume->quota.wanted() && now_ >= pending->notBefore)
+                waiting[pending->volume].push_back(pending->request.units);
         bool leased = false;
         std::map<int, QuotaMessage> messages;
         for (auto& [volume, units] : waiting) {
-            leased = askPool(*volume, units, messages) || leased;
-            wake(volume->quota.wakeAtMs(now_));
+            leased = requestLease(*volume, units, messages) || leased;
+            wakeAt(volume->quota.wakeAtMs(now_));
         }
         for (const auto& [rank, message] : messages)
-            for (const auto& bytes : pack(message)) out_.emplace_back(SendToPeers{rank, bytes});
+            for (const auto& bytes : pack(message)) actions_.emplace_back(SendToPeers{rank, bytes});
         return leased;
     }
-    bool askPool(Volume& v, const std::vector<double>& waiting, std::map<int, QuotaMessage>& messages) {
-        const auto plan = static_cast<std::size_t>(v.plan - set_.plans.data());
-        const auto ask = v.quota.next({waiting, v.share.available(), v.credit - v.r},
-                                      {v.id, ++seq_, plan, 0, hostsAtWork(v)}, now_);
-        if (!ask) return false;
-        const int rank = poolHost(v.id, ask->pool);
-        if (rank == set_.rank) return take(v, leaseFor(rank, *ask));
-        messages[rank].asks.push_back(*ask);
-        v.quota.sent(now_, 4 * peerDelay_);
+    bool requestLease(Volume& volume, const std::vector<double>& waiting,
+                      std::map<int, QuotaMessage>& messages) {
+        const auto plan = static_cast<std::size_t>(volume.plan - settings_.plans.data());
+        const auto request = volume.quota.nextRequest(
+            {waiting, volume.limitShare.available(), volume.credit - volume.sentUnits},
+            {volume.id, ++seq_, plan, 0, activeHostCount(volume)}, now_);
+        if (!request) return false;
+        const int rank = poolHost(volume.id, request->pool);
+        if (rank == settings_.rank) return acceptLease(volume, grantLease(rank, *request));
+        messages[rank].requests.push_back(*request);
+        volume.quota.onRequestSent(now_, 4 * peerDelay_);
         return false;
     }
-    QuotaAnswer leaseFor(int rank, const QuotaAsk& ask) {
-        const auto split = partsOf(set_.plans[ask.plan], ask.hosts, set_.maxUnits, true);
-        const auto answer =
-            quotaPool_.lease(ask.volume, split.pools[ask.pool], {rank, ask.seq}, ask.least, ask.most, now_);
-        return {ask.volume, ask.seq, answer.units, answer.retryAfterMs};
-    }
-    bool take(Volume& v, const QuotaAnswer& answer) {
-        if (!v.quota.awaits(answer)) return false;
-        const auto untilMs = v.quota.leasedUntil(answer, now_);
-        wake(v.quota.wakeAtMs(now_));
-        if (untilMs) {
-            v.share.lease(answer.units, *untilMs);
+    // As the pool: leases to the host `rank`.
+    QuotaResponse grantLease(int rank, const QuotaRequest& request) {
+        const auto parts = splitLimit(settings_.plans[request.plan], request.hosts, settings_.maxUnits, true);
+        const auto lease = quotaPool_.lease(request.volume, parts.pools[request.pool], {rank, request.seq},
+                                            request.minUnits, request.maxUnits, now_);
+        return {request.volume, request.seq, lease.units, lease.retryAfterMs};
+    }
+    // Takes over the response of a pool; true if it leased units.
+    bool acceptLease(Volume& volume, const QuotaResponse& response) {
+        if (!volume.quota.isAwaited(response)) return false;
+        const auto expiresAtMs = volume.quota.onResponse(response, now_);
+        wakeAt(volume.quota.wakeAtMs(now_));
+        if (expiresAtMs) {
+            volume.limitShare.addLease(response.units, *expiresAtMs);
             return true;
         }
-        v.starved = true;
-        v.level = std::min(v.level, v.quota.mostLeft(parts(v), hostsAtWork(v), now_));
+        volume.needsCredit = true;
+        volume.level = std::min(volume.level,
+                                volume.quota.maxUnitsLeft(limitParts(volume), activeHostCount(volume), now_));
         return false;
     }
-    void onQuota(int from, const QuotaMessage& message) {
-        for (const auto& answer : message.answers)
-            if (const auto found = volumes_.find(answer.volume);
-                found != volumes_.end() && found->second.limited() &&
-                answer.units <= found->second.plan->limitBurst)
-                take(found->second, answer);
+    void onQuotaMessage(int from, const QuotaMessage& message) {
+        for (const auto& response : message.responses)
+            if (const auto found = volumes_.find(response.volume);
+                found != volumes_.end() && found->second.hasLimit() &&
+                response.units <= found->second.plan->limitBurst)
+                acceptLease(found->second, response);
         QuotaMessage reply;
-        for (const auto& ask : message.asks)
-            if (pooled() && poolHost(ask.volume, ask.pool) == set_.rank)
-                reply.answers.push_back(leaseFor(from, ask));
-        for (const auto& bytes : pack(reply)) out_.emplace_back(SendToPeers{from, bytes});
+        for (const auto& request : message.requests)
+            if (usesPools() && poolHost(request.volume, request.pool) == settings_.rank)
+                reply.responses.push_back(grantLease(from, request));
+        for (const auto& bytes : pack(reply)) actions_.emplace_back(SendToPeers{from, bytes});
     }
 
     // ---------------------------------------------------------------- node windows
-    Node* holder(int shard) {
-        const auto found = holders_.find(shard);
-        return found == holders_.end() ? nullptr : found->second;
-    }
-    bool cold(const Node& n) const { return n.suspect || now_ < n.coldFrom + set_.coldMs; }
-    // No verdict while something has been out for far longer than usual: a hang, a dead machine, a long
-    // pause or a very heavy request all look like this from here.
-    bool silent(const Node& n) const {
-        return now_ - n.unansweredFrom > std::max(600.0, 8 * n.window.msPerUnit() * set_.meanUnits);
-    }
-    bool hasRoom(Node& n, double units) {
-        if (n.lifecycle != Lifecycle::Ready || now_ < n.notBefore) return false;
-        const double part = partOf(n.shard);
-        if (silent(n) || (part <= 0 && !cold(n))) {
-            const double most = part > 0 ? n.window.size() : NodeWindow::kLeast;
-            if (n.inflight >= most || now_ < n.lastSend + kCanaryMs) return false;
-            if (!cold(n)) return true;  // a trial at a cold one draws on what all hosts may send there
+    Node* activeNode(int shard) {
+        const auto found = activeNodes_.find(shard);
+        return found == activeNodes_.end() ? nullptr : found->second;
+    }
+    bool isCold(const Node& node) const { return node.suspect || now_ < node.coldSince + settings_.coldMs; }
+    // No result although an attempt has been in flight for far longer than usual. Hung nodes, dead machines,
+    // long pauses and very heavy requests look the same from here.
+    bool isSilent(const Node& node) const {
+        return now_ - node.unansweredSince >
+               std::max(600.0, 8 * node.window.msPerUnit() * settings_.meanUnits);
+    }
+    // Whether the node takes another request: within its window and, while cold, within the budget of units
+    // that all hosts together may send it.
+    bool hasRoom(Node& node, double units) {
+        if (node.lifecycle != Lifecycle::Ready || now_ < node.notBefore) return false;
+        const double budgetShare = coldBudgetShare(node.shard);
+        if (isSilent(node) || (budgetShare <= 0 && !isCold(node))) {
+            const double windowSize = budgetShare > 0 ? node.window.size() : NodeWindow::kMin;
+            if (node.inflight >= windowSize || now_ < node.lastSendAt + kTrialIntervalMs) return false;
+            if (!isCold(node)) return true;  // a trial at a cold node counts in its budget
         }
-        if (cold(n)) {
-            // What all hosts may send in any case grows with the capacity that the rules promise at this
-            // age; own completions add less than they were, for repeats and writes cost less than counted.
-            const double age = n.suspect ? 0 : std::min(1.0, (now_ - n.coldFrom) / set_.coldMs);
-            const double grown = 1 + age * (1 / std::max(set_.coldShare, 0.01) - 1);
-            // The process before this one may have sent what still counts, if the node was up by then.
-            const bool unsure =
-                now_ < startedAt_ + set_.overloadSpanMs && (n.suspect || n.coldFrom < startedAt_);
-            if (unsure || n.inflight >= std::max(1.0, std::floor(age * n.window.size()))) return false;
-            const double from = now_ - set_.overloadSpanMs,
-                         beyond = 1 - 1 / std::max(1.0, set_.overloadFactor);
-            const double mine = grown * set_.coldUnits * part, sent = n.coldSent.since(from);
-            return sent + units <= mine + beyond * n.coldDone.since(from) ||
-                   (!shared_ && sent <= 0 && lotFalls(n, units, mine));
+        if (isCold(node)) {
+            // The budget grows with the capacity that the settings promise at the node's age. Completions add
+            // less than they amount to, since repeats and writes cost less than their units.
+            const double age = node.suspect ? 0 : std::min(1.0, (now_ - node.coldSince) / settings_.coldMs);
+            const double budgetGrowth = 1 + age * (1 / std::max(settings_.coldShare, 0.01) - 1);
+            // Units sent by the previous process may still count if the node was up by then.
+            const bool previousMayCount =
+                now_ < startedAt_ + settings_.overloadSpanMs && (node.suspect || node.coldSince < startedAt_);
+            if (previousMayCount || node.inflight >= std::max(1.0, std::floor(age * node.window.size())))
+                return false;
+            const double spanStart = now_ - settings_.overloadSpanMs,
+                         completionShare = 1 - 1 / std::max(1.0, settings_.overloadFactor);
+            const double ownBudget = budgetGrowth * settings_.coldUnits * budgetShare,
+                         sentUnits = node.coldUnitsSent.sumSince(spanStart);
+            return sentUnits + units <=
+                       ownBudget + completionShare * node.coldUnitsServed.sumSince(spanStart) ||
+                   (!coordinated_ && sentUnits <= 0 && drawAllowsTrial(node, units, ownBudget));
         }
-        return n.inflight < std::floor(n.window.size());
-    }
-    // Where this host's part of what a cold node bears is under one request, a lot drawn anew in each fall
-    // time decides whether it sends one all the same: half as many on the mean as all together may, for a
-    // burst can meet two draws. One that was never told as cold is tried now and then, the rarer the more
-    // hosts there are.
-    bool lotFalls(Node& n, double units, double mine) {
-        if (n.suspect && now_ >= n.coldFrom + set_.coldMs)
-            return now_ >= n.lastSend + kCanaryMs * (1 + set_.hosts / NodeWindow::kMost);
-        if (now_ >= n.lotUntil) {
-            n.lotUntil = now_ + set_.overloadSpanMs * (n.lotUntil < 0 ? uniform() : 1);
-            n.lot = uniform();
+        return node.inflight < std::floor(node.window.size());
+    }
+    // If this host's part of a cold node's budget is less than one request, a random draw in each overload
+    // span decides whether it sends one all the same. The hosts then send half of what they may together, on
+    // the mean, because a burst can meet two draws. A node that is suspect but not listed as restarted is
+    // tried from time to time, the less often the more hosts there are.
+    bool drawAllowsTrial(Node& node, double units, double ownBudget) {
+        if (node.suspect && now_ >= node.coldSince + settings_.coldMs)
+            return now_ >= node.lastSendAt + kTrialIntervalMs * (1 + settings_.hosts / NodeWindow::kMax);
+        if (now_ >= node.randomDrawUntil) {
+            node.randomDrawUntil =
+                now_ + settings_.overloadSpanMs * (node.randomDrawUntil < 0 ? uniform() : 1);
+            node.randomDraw = uniform();
         }
-        return n.lot * 2 * units < mine;
+        return node.randomDraw * 2 * units < ownBudget;
     }
 
-    // ---------------------------------------------------------------- held queues and ordering
+    // ---------------------------------------------------------------- queues and ordering
     void on(const Request& request) {
-        const auto* kind = named(set_.classes, request.requestClass);
-        const auto* plan = named(set_.plans, request.plan);
-        if (set_.retryBudgetSpanMs > 0) taken_.entries.push_back({now_, 1});
-        if (byId_.count(request.id)) return;
+        const auto* kind = findByName(settings_.classes, request.requestClass);
+        const auto* plan = findByName(settings_.plans, request.plan);
+        if (settings_.retryBudgetSpanMs > 0) acceptedRequests_.entries.push_back({now_, 1});
+        if (requestsById_.count(request.id)) return;
         if (!kind || !plan) return refuse(request.id, EndReason::UnknownKind);
-        auto& v = volumes_[request.volume];
-        if (!v.plan) begin(request.volume, v, *plan, request.hosts);
-        v.hosts = std::max(1, request.hosts);
-        if (v.limited()) v.share.seen(parts(v).own, hostsAtWork(v), now_);
-        v.usedAt = now_;
-        ++v.users;
-        // Less time than this class ever came with has been spent before: a client's earlier try, or a stall
-        // of this host that kept the request waiting unseen. Its aim has been running meanwhile.
+        auto& volume = volumes_[request.volume];
+        if (!volume.plan) startVolume(request.volume, volume, *plan, request.hosts);
+        volume.hosts = std::max(1, request.hosts);
+        if (volume.hasLimit())
+            volume.limitShare.setHosts(limitParts(volume).own, activeHostCount(volume), now_);
+        volume.lastRequestAt = now_;
+        ++volume.openRequests;
+        // A shorter time to live than the longest of the class means that time has passed already: the client
+        // tried before, or this host stalled with the request in a buffer. Its latency target counts from
+        // then.
         double& longest = longestTtl_[kind];
         longest = std::max(longest, request.ttlMs);
-        auto& q = admit(request, *kind, *plan, kind->latencyTargetMs - (longest - request.ttlMs));
-        q.volume = &v;
-        held_[q.seq] = &q;
-        if (q.ordered()) queue(keys_[request.key], q);
-        noteDue(v, request.units);
-    }
-    // A volume's first sight: what could have been drawn of it without this process's knowledge counts as
-    // drawn. Without peers its requests come through this host alone, or its hosts' parts are fixed: nobody
-    // but the process before this one drew from the part.
-    void begin(std::int64_t id, Volume& v, const Plan& plan, int hosts) {
-        v.id = id;
-        v.plan = &plan;
-        v.filledAt = pooled() ? now_ : startedAt_;
-        v.hosts = std::max(1, hosts);
-        if (!v.limited()) return;
-        if (pooled()) v.level = plan.limitBurst;  // as far as no pool refuses
-        v.share.begin(parts(v).own, v.hosts, v.filledAt);
-        refill(v);
-        split(v);
-        note(v, LimitAccount::Moment::FirstSight);
-    }
-    // All hosts share this volume, and one of them is short of credit: this one takes part before it has a
-    // request of its own, so that what idles here can be lent.
-    void join(int from, const Introduction& word) {
-        const auto found = volumes_.find(word.volume);
-        const auto& plan = set_.plans[word.plan];
-        if (plan.limit <= 0 || (found == volumes_.end() && volumes_.size() >= kGuestsMost)) return;
-        auto& v = volumes_[word.volume];
-        if (!v.plan) {
-            v.usedAt = -1e18;
-            begin(word.volume, v, plan, set_.hosts);
+        auto& pending = admit(request, *kind, *plan, kind->latencyTargetMs - (longest - request.ttlMs));
+        pending.volume = &volume;
+        queue_[pending.seq] = &pending;
+        if (pending.isOrdered()) enqueueOrdered(keyQueues_[request.key], pending);
+        accrueEntitlement(volume, request.units);
+    }
+    // On the first request of a volume: whatever could have been drawn without this process knowing counts as
+    // drawn. Without peers only the previous process of this host can have drawn from this part: requests
+    // come through this host alone, or the hosts' parts are fixed.
+    void startVolume(std::int64_t id, Volume& volume, const Plan& plan, int hosts) {
+        volume.id = id;
+        volume.plan = &plan;
+        volume.refilledAt = usesPools() ? now_ : startedAt_;
+        volume.hosts = std::max(1, hosts);
+        if (!volume.hasLimit()) return;
+        if (usesPools()) volume.level = plan.limitBurst;  // until a pool refuses
+        volume.limitShare.start(limitParts(volume).own, volume.hosts, volume.refilledAt);
+        refill(volume);
+        splitCredit(volume);
+        reportAccount(volume, LimitAccount::Moment::FirstSight);
+    }
+    // A peer is short of credit for a volume that all hosts share: this host takes part before it has a
+    // request for it, so that its idle part can be lent.
+    void joinVolume(int from, const VolumeIntroduction& introduction) {
+        const auto found = volumes_.find(introduction.volume);
+        const auto& plan = settings_.plans[introduction.plan];
+        if (plan.limit <= 0 || (found == volumes_.end() && volumes_.size() >= kMaxIntroducedVolumes)) return;
+        auto& volume = volumes_[introduction.volume];
+        if (!volume.plan) {
+            volume.lastRequestAt = -1e18;
+            startVolume(introduction.volume, volume, plan, settings_.hosts);
         }
-        if (v.limited() && v.hosts == set_.hosts) v.peers[from].heardAt = now_;
-    }
-    void queue(KeyTurn& key, Held& q) {
-        // The process before this one may have left an attempt in doubt.
-        key.restUntil = std::max(key.restUntil, startedAt_ + set_.settleAfterDoubtMs);
-        if (key.restUntil > now_) wake(key.restUntil);
-        key.turn.push_back(&q);
-    }
-    void unhold(Held& q) { (q.owner < 0 ? held_ : asks_[q.goal]).erase(q.seq); }
-    Held& admit(const Request& request, const RequestClass& kind, const Plan& plan, double aimLeft) {
-        pool_.emplace_back();
-        auto& q = pool_.back();
-        q.request = request;
-        q.kind = &kind;
-        q.plan = &plan;
-        q.goal = request.shard;
-        q.seq = ++seq_;
-        q.arrived = now_;
-        q.deadline = now_ + request.ttlMs;
-        q.aimAt = now_ + aimLeft;
-        byId_[request.id] = std::prev(pool_.end());
-        deadlines_.insert({q.deadline, request.id});
-        return q;
+        if (volume.hasLimit() && volume.hosts == settings_.hosts) volume.peers[from].heardAt = now_;
+    }
+    void enqueueOrdered(KeyQueue& keyQueue, PendingRequest& pending) {
+        // The previous process may have left an attempt of unknown outcome.
+        keyQueue.blockedUntil = std::max(keyQueue.blockedUntil, startedAt_ + settings_.settleAfterDoubtMs);
+        if (keyQueue.blockedUntil > now_) wakeAt(keyQueue.blockedUntil);
+        keyQueue.requests.push_back(&pending);
+    }
+    void dequeue(PendingRequest& pending) {
+        (pending.origin < 0 ? queue_ : permitQueues_[pending.targetShard]).erase(pending.seq);
+    }
+    PendingRequest& admit(const Request& request, const RequestClass& kind, const Plan& plan,
+                          double latencyTargetLeft) {
+        requests_.emplace_back();
+        auto& pending = requests_.back();
+        pending.request = request;
+        pending.requestClass = &kind;
+        pending.plan = &plan;
+        pending.targetShard = request.shard;
+        pending.seq = ++seq_;
+        pending.arrivedAt = now_;
+        pending.deadline = now_ + request.ttlMs;
+        pending.latencyTargetAt = now_ + latencyTargetLeft;
+        requestsById_[request.id] = std::prev(requests_.end());
+        deadlines_.insert({pending.deadline, request.id});
+        return pending;
     }
 
-    void noteDue(Volume& v, double units) {
-        const double part = v.dues.fraction(v.hosts, now_);
-        const VolumeDues::Rates rates{part * v.plan->reservation, fairPerWeight_ * v.plan->weight * part};
-        v.dues.arrive(units, rates, set_.maxUnits, now_);
-    }
-    double worth(Held& q, double finish) {
-        const double base = q.kind->points * q.plan->worthFactor;
-        if (finish > q.aimAt) return base * q.kind->lateWorth * set_.spareWorth;
-        appraise(q);
-        return base * (q.full + q.fair * set_.fairWorth + (1 - q.full - q.fair) * set_.spareWorth);
-    }
-    // The parts of a request that are still due to its volume; of another host's, what that host said.
-    void appraise(Held& q) {
-        if (q.owner >= 0) return;
-        const double u = std::max(q.request.units, 1e-9);
-        const auto* s = q.volume->dues.of(q.arrived);
-        q.full = s ? std::min(u, s->reserve) / u : 0;
-        q.fair = s ? std::min(1 - q.full, s->fair / u) : 0;
-    }
-    void takeDue(const Held& q) {
-        auto* s = q.volume->dues.of(q.arrived);
-        if (!s) return;
-        const double full = std::min(q.request.units, s->reserve);
-        s->reserve -= full;
-        s->fair -= std::min(q.request.units - full, s->fair);
-        beyond_ += q.request.units - full;
-    }
-    // Once a second: what a unit of weight got beyond the reserves through this host is what it is due.
-    void learnFair() {
-        if (now_ < fairLearnedAt_ + 1000) return;
+    // Counts an arrived request towards what the volume is entitled to at this host.
+    void accrueEntitlement(Volume& volume, double units) {
+        const double trafficShare = volume.entitlement.trafficShare(volume.hosts, now_);
+        const VolumeEntitlement::Rates rates{trafficShare * volume.plan->reservation,
+                                             fairUnitsPerWeight_ * volume.plan->weight * trafficShare};
+        volume.entitlement.onArrival(units, rates, settings_.maxUnits, now_);
+    }
+    // The value of finishing the request at `finishAt`, by its class, its plan and what its volume is
+    // entitled to.
+    double expectedValue(PendingRequest& pending, double finishAt) {
+        const double base = pending.requestClass->points * pending.plan->worthFactor;
+        if (finishAt > pending.latencyTargetAt)
+            return base * pending.requestClass->lateWorth * settings_.spareWorth;
+        updateEntitledParts(pending);
+        return base * (pending.reservedPart + pending.fairPart * settings_.fairWorth +
+                       (1 - pending.reservedPart - pending.fairPart) * settings_.spareWorth);
+    }
+    // Updates the parts of the request that its volume is still entitled to. For a request of another host
+    // they are as that host reported them.
+    void updateEntitledParts(PendingRequest& pending) {
+        if (pending.origin >= 0) return;
+        const double units = std::max(pending.request.units, 1e-9);
+        const auto* second = pending.volume->entitlement.forArrival(pending.arrivedAt);
+        pending.reservedPart = second ? std::min(units, second->reserved) / units : 0;
+        pending.fairPart = second ? std::min(1 - pending.reservedPart, second->fair / units) : 0;
+    }
+    void consumeEntitlement(const PendingRequest& pending) {
+        auto* second = pending.volume->entitlement.forArrival(pending.arrivedAt);
+        if (!second) return;
+        const double reserved = std::min(pending.request.units, second->reserved);
+        second->reserved -= reserved;
+        second->fair -= std::min(pending.request.units - reserved, second->fair);
+        unreservedUnits_ += pending.request.units - reserved;
+    }
+    // Once a second: the fair rate of a unit of weight follows what volumes were served beyond their
+    // reservations through this host.
+    void updateFairRate() {
+        if (now_ < fairUpdatedAt_ + 1000) return;
         double weights = 0;
-        for (auto& [id, v] : volumes_)
-            if (v.dues.beyondSince(fairLearnedAt_))
-                weights += v.plan->weight * v.dues.fraction(v.hosts, now_);
-        const double rate = beyond_ * 1000 / std::min(2000.0, now_ - fairLearnedAt_);
-        if (weights > 0) fairPerWeight_ += kFairStep * (rate / weights - fairPerWeight_);
-        beyond_ = 0;
-        fairLearnedAt_ = now_;
-    }
-    bool itsTurn(const Held& q) {
-        if (!q.ordered()) return true;
-        const auto& k = keys_[q.request.key];
-        return k.turn.front() == &q && now_ >= k.restUntil;
-    }
-    // A new object goes where it's likely done first, which also decides where its readers will go.
-    Node* place(const Held& q) {
-        if (q.goal >= 0) {
-            Node* n = holder(q.goal);
-            return n && mayGoTo(q, *n) && hasRoom(*n, q.request.units) ? n : nullptr;
+        for (auto& [id, volume] : volumes_)
+            if (volume.entitlement.exceededReservationSince(fairUpdatedAt_))
+                weights += volume.plan->weight * volume.entitlement.trafficShare(volume.hosts, now_);
+        const double rate = unreservedUnits_ * 1000 / std::min(2000.0, now_ - fairUpdatedAt_);
+        if (weights > 0) fairUnitsPerWeight_ += kFairRateSmoothing * (rate / weights - fairUnitsPerWeight_);
+        unreservedUnits_ = 0;
+        fairUpdatedAt_ = now_;
+    }
+    bool isNextOfKey(const PendingRequest& pending) {
+        if (!pending.isOrdered()) return true;
+        const auto& keyQueue = keyQueues_[pending.request.key];
+        return keyQueue.requests.front() == &pending && now_ >= keyQueue.blockedUntil;
+    }
+    // A new object goes to the node that is likely to finish it first; its readers will follow it there.
+    Node* selectNode(const PendingRequest& pending) {
+        if (pending.targetShard >= 0) {
+            Node* node = activeNode(pending.targetShard);
+            return node && maySendTo(pending, *node) && hasRoom(*node, pending.request.units) ? node
+                                                                                              : nullptr;
         }
-        Node* found = nullptr;
-        double least = 0;
-        for (auto& [id, n] : nodes_) {
-            if (!mayGoTo(q, n) || silent(n) || !hasRoom(n, q.request.units)) continue;
-            const double cost = timeIn(n) * (cold(n) ? 50 : 1);
-            if (!found || cost < least) found = &n, least = cost;
+        Node* best = nullptr;
+        double leastCost = 0;
+        for (auto& [id, node] : nodes_) {
+            if (!maySendTo(pending, node) || isSilent(node) || !hasRoom(node, pending.request.units))
+                continue;
+            const double cost = expectedTimeMs(node) * (isCold(node) ? 50 : 1);
+            if (!best || cost < leastCost) best = &node, leastCost = cost;
         }
-        return found;
+        return best;
+    }
+    double expectedTimeMs(const Node& node) {
+        return std::max(node.window.msPerUnit(), 1.0) * (1 + node.unitsInFlight + backlogUnits_[node.shard]);
     }
-    double timeIn(const Node& n) {
-        return std::max(n.window.msPerUnit(), 1.0) * (1 + n.unitsOut + backlog_[n.shard]);
+    bool isFull(const Node& node) const {
+        return !isCold(node) && node.inflight >= std::floor(node.window.size());
     }
-    bool full(const Node& n) const { return !cold(n) && n.inflight >= std::floor(n.window.size()); }
     void dispatch() {
-        std::vector<std::tuple<double, double, std::uint64_t, Held*>> ranked;  // worth first, then aim
-        const auto rank = [&](Held& q) {
-            const Node* n = q.goal >= 0 ? holder(q.goal) : nullptr;
-            if (q.goal >= 0 && (!n || full(*n))) return;
-            double value = worth(q, now_ + kFinishPart * (n ? n->window.msPerUnit() : 0) * q.request.units);
-            if (n && std::count(n->recentKeys.begin(), n->recentKeys.end(), q.keyMark())) value *= kSeekGain;
-            ranked.emplace_back(-value, q.aimAt, q.seq, &q);
+        std::vector<std::tuple<double, double, std::uint64_t, PendingRequest*>>
+            ranked;  // by value, then by latency target
+        const auto addRanked = [&](PendingRequest& pending) {
+            const Node* node = pending.targetShard >= 0 ? activeNode(pending.targetShard) : nullptr;
+            if (pending.targetShard >= 0 && (!node || isFull(*node))) return;
+            double value =
+                expectedValue(pending, now_ + kFinishEstimateFactor * (node ? node->window.msPerUnit() : 0) *
+                                                  pending.request.units);
+            if (node && std::count(node->recentKeys.begin(), node->recentKeys.end(), pending.keyTag()))
+                value *= kRecentKeyGain;
+            ranked.emplace_back(-value, pending.latencyTargetAt, pending.seq, &pending);
         };
-        backlog_.clear();
-        for (auto& [seq, q] : held_) {
-            if (q->notBefore > now_) wake(q->notBefore);
-            if (q->notBefore > now_ || !itsTurn(*q) || !decidedHere(*q)) continue;
-            if (q->goal >= 0) backlog_[q->goal] += q->request.units;
-            rank(*q);
+        backlogUnits_.clear();
+        for (auto& [seq, pending] : queue_) {
+            if (pending->notBefore > now_) wakeAt(pending->notBefore);
+            if (pending->notBefore > now_ || !isNextOfKey(*pending) || !decidesLocally(*pending)) continue;
+            if (pending->targetShard >= 0) backlogUnits_[pending->targetShard] += pending->request.units;
+            addRanked(*pending);
         }
-        for (const auto& [shard, queue] : asks_) {
-            if (!queue.empty()) backlog_[shard] += set_.meanUnits * static_cast<double>(queue.size());
-            if (const Node* n = holder(shard); !n || full(*n)) continue;
-            for (const auto& [seq, q] : queue) rank(*q);
+        for (const auto& [shard, queue] : permitQueues_) {
+            if (!queue.empty())
+                backlogUnits_[shard] += settings_.meanUnits * static_cast<double>(queue.size());
+            if (const Node* node = activeNode(shard); !node || isFull(*node)) continue;
+            for (const auto& [seq, pending] : queue) addRanked(*pending);
         }
         std::sort(ranked.begin(), ranked.end());
-        for (const auto& [value, aimAt, seq, q] : ranked)
-            if (mayStart(*q))
-                if (Node* n = place(*q)) send(*q, *n);
-        for (const auto& [shard, units] : backlog_) {
-            const Node* n = holder(shard);
-            if (!n) continue;
-            if (n->notBefore > now_) wake(n->notBefore);
-            else if (n->inflight > 0 || cold(*n)) wake(now_ + 50);
+        for (const auto& [sortKey, latencyTargetAt, seq, pending] : ranked)
+            if (mayStart(*pending))
+                if (Node* node = selectNode(*pending)) send(*pending, *node);
+        for (const auto& [shard, units] : backlogUnits_) {
+            const Node* node = activeNode(shard);
+            if (!node) continue;
+            if (node->notBefore > now_) wakeAt(node->notBefore);
+            else if (node->inflight > 0 || isCold(*node)) wakeAt(now_ + 50);
         }
     }
-    bool mayStart(Held& q) {
-        if (q.owner >= 0) return true;
-        return (q.drawn || mayDraw(*q.volume, q.request.units)) && (q.sent.empty() || extraAllowed());
+    bool mayStart(PendingRequest& pending) {
+        if (pending.origin >= 0) return true;
+        return (pending.limitDrawn || mayDrawLimit(*pending.volume, pending.request.units)) &&
+               (pending.attempts.empty() || retryAllowed());
     }
 
-    // ---------------------------------------------------------------- nodes kept by one host for all
-    // Where hosts outnumber a window's places, a window at each host holds no order in the node: 200 hosts
-    // with one request out each are a queue of 200. So one host, found by the shard's number, keeps the
-    // node's window, budget while cold and order of worth for all; the others ask it for each send, and tell
-    // it the outcome. Lost messages and dead keepers: the next stand-in after a wait, then one at a time.
-    int candidate(int shard, std::size_t k) const {
-        std::minstd_rand mix(static_cast<unsigned>(shard) * 3 + static_cast<unsigned>(k) + 1);
-        return static_cast<int>(mix() % static_cast<unsigned>(set_.hosts));
-    }
-    int keeperOf(int shard) {
-        for (std::size_t k = 0; k < kKeeperParts.size(); ++k) {
-            const int rank = candidate(shard, k);
-            if (rank == set_.rank || now_ >= peers_[rank].deafUntil) return rank;
+    // ---------------------------------------------------------------- coordinated nodes
+    // If there are more hosts than places in a window, a window at each host does not keep the node's queue
+    // short: 200 hosts with one request each are a queue of 200. So one host, derived from the shard's
+    // number, keeps the node's window, its budget while cold and its order of requests for all hosts. The
+    // others request a permit from it for each send and report the result. Lost messages and dead
+    // coordinators: the next stand-in takes over after a wait; with all unresponsive each host decides on its
+    // own, one trial at a time.
+    int coordinatorCandidate(int shard, std::size_t index) const {
+        std::minstd_rand mix(static_cast<unsigned>(shard) * 3 + static_cast<unsigned>(index) + 1);
+        return static_cast<int>(mix() % static_cast<unsigned>(settings_.hosts));
+    }
+    int coordinatorOf(int shard) {
+        for (std::size_t i = 0; i < kCoordinatorShares.size(); ++i) {
+            const int rank = coordinatorCandidate(shard, i);
+            if (rank == settings_.rank || now_ >= peers_[rank].unresponsiveUntil) return rank;
         }
-        return set_.rank;
+        return settings_.rank;
     }
-    // The part of a node's budget while cold that this host decides about.
-    double partOf(int shard) const {
-        if (!shared_) return 1.0 / set_.hosts;
-        for (std::size_t k = 0; k < kKeeperParts.size(); ++k)
-            if (candidate(shard, k) == set_.rank) return kKeeperParts[k];
+    // The fraction of a cold node's budget that this host decides about.
+    double coldBudgetShare(int shard) const {
+        if (!coordinated_) return 1.0 / settings_.hosts;
+        for (std::size_t i = 0; i < kCoordinatorShares.size(); ++i)
+            if (coordinatorCandidate(shard, i) == settings_.rank) return kCoordinatorShares[i];
         return 0;
     }
-    // New objects: the least heated of three drawn at random, for hosts that all pick the best would jam it.
-    int pick(const Held& q) {
-        std::vector<const Node*> fit, chilled;
-        for (const auto& [shard, n] : holders_)
-            if (mayGoTo(q, *n)) (cold(*n) ? chilled : fit).push_back(n);
-        if (fit.empty()) fit.swap(chilled);
+    // For new objects: the least loaded of three random nodes. If all hosts picked the least loaded one, they
+    // would overload it.
+    int pickShard(const PendingRequest& pending) {
+        std::vector<const Node*> warmNodes, coldNodes;
+        for (const auto& [shard, node] : activeNodes_)
+            if (maySendTo(pending, *node)) (isCold(*node) ? coldNodes : warmNodes).push_back(node);
+        if (warmNodes.empty()) warmNodes.swap(coldNodes);
         const Node* best = nullptr;
-        for (int i = 0; i < 3 && !fit.empty(); ++i) {
-            const Node* n = fit[static_cast<std::size_t>(uniform() * static_cast<double>(fit.size()))];
-            if (!best || n->heat < best->heat) best = n;
+        for (int i = 0; i < 3 && !warmNodes.empty(); ++i) {
+            const Node* node =
+                warmNodes[static_cast<std::size_t>(uniform() * static_cast<double>(warmNodes.size()))];
+            if (!best || node->load < best->load) best = node;
         }
         return best ? best->shard : -1;
     }
-    // Whether this host decides about a request; else its keeper was asked.
-    bool decidedHere(Held& q) {
-        if (!shared_ || q.owner >= 0) return true;
-        if (q.keeper < 0 || now_ >= q.askDue) {
-            if (q.keeper >= 0 && !q.acked) peers_[q.keeper].deafUntil = now_ + kDeafMs;
-            q.keeper = -1;
-            if (!mayStart(q)) return false;
-            if (q.request.shard < 0) q.goal = pick(q);
-            const Node* n = holder(q.goal);
-            if (!n) return false;
-            q.keeper = keeperOf(q.goal);
-            q.acked = q.keeper == set_.rank;
-            q.askedAt = now_;
-            q.askDue = now_ + (q.acked ? kAskAgainMs : askWait_);
-            if (!q.acked) putAsk(q, *n);
+    // Whether this host decides about the request; otherwise a permit is requested from the coordinator.
+    bool decidesLocally(PendingRequest& pending) {
+        if (!coordinated_ || pending.origin >= 0) return true;
+        if (pending.coordinator < 0 || now_ >= pending.permitDue) {
+            if (pending.coordinator >= 0 && !pending.permitAcked)
+                peers_[pending.coordinator].unresponsiveUntil = now_ + kUnresponsiveMs;
+            pending.coordinator = -1;
+            if (!mayStart(pending)) return false;
+            if (pending.request.shard < 0) pending.targetShard = pickShard(pending);
+            const Node* node = activeNode(pending.targetShard);
+            if (!node) return false;
+            pending.coordinator = coordinatorOf(pending.targetShard);
+            pending.permitAcked = pending.coordinator == settings_.rank;
+            pending.permitRequestedAt = now_;
+            pending.permitDue = now_ + (pending.permitAcked ? kPermitRetryMs : permitWait_);
+            if (!pending.permitAcked) requestPermit(pending, *node);
         }
-        wake(q.askDue);
-        return q.keeper == set_.rank;
-    }
-    void putAsk(Held& q, const Node& n) {
-        appraise(q);
-        Note ask{NoteKind::Ask, q.seq, q.goal};
-        ask.requestClass = static_cast<std::size_t>(q.kind - set_.classes.data());
-        ask.plan = static_cast<std::size_t>(q.plan - set_.plans.data());
-        ask.full = q.full, ask.fair = q.fair, ask.units = q.request.units;
-        ask.latencyTargetMs = q.aimAt - now_, ask.ttlMs = q.deadline - now_;
-        ask.key = q.keyMark();
-        if (cold(n)) ask.coldAgeMs = std::min(now_ - n.coldFrom, set_.coldMs);
-        notes_[q.keeper].push_back(ask);
-    }
-    static std::string askId(int from, std::uint64_t seq) {
+        wakeAt(pending.permitDue);
+        return pending.coordinator == settings_.rank;
+    }
+    void requestPermit(PendingRequest& pending, const Node& node) {
+        updateEntitledParts(pending);
+        PermitMessage message{PermitKind::Request, pending.seq, pending.targetShard};
+        message.requestClass = static_cast<std::size_t>(pending.requestClass - settings_.classes.data());
+        message.plan = static_cast<std::size_t>(pending.plan - settings_.plans.data());
+        message.reservedPart = pending.reservedPart, message.fairPart = pending.fairPart,
+        message.units = pending.request.units;
+        message.latencyTargetMs = pending.latencyTargetAt - now_, message.ttlMs = pending.deadline - now_;
+        message.key = pending.keyTag();
+        if (isCold(node)) message.coldAgeMs = std::min(now_ - node.coldSince, settings_.coldMs);
+        outgoingPermits_[pending.coordinator].push_back(message);
+    }
+    static std::string permitId(int from, std::uint64_t seq) {
         return "@" + std::to_string(from) + ":" + std::to_string(seq);
     }
-    void take(int from, const Note& a) {
-        const auto id = askId(from, a.seq);
-        if (Node* n = holder(a.shard); n && a.coldAgeMs >= 0)
-            n->coldFrom = std::max(n->coldFrom, now_ - a.coldAgeMs);
-        newAsks_.push_back(id);
-        if (byId_.count(id)) return;
-        auto& q = admit({id, "", "", a.key, 0, a.ttlMs, a.units, a.shard, 1}, set_.classes[a.requestClass],
-                        set_.plans[a.plan], a.latencyTargetMs);
-        q.full = a.full;
-        q.fair = std::min(1 - a.full, a.fair);
-        q.owner = from;
-        q.ownerSeq = a.seq;
-        asks_[a.shard][q.seq] = &q;
-    }
-    void granted(int from, std::uint64_t seq) {
-        const auto found = held_.find(seq);
-        Held* q = found == held_.end() ? nullptr : found->second;
-        Node* n = q ? holder(q->goal) : nullptr;
-        if (n && q->keeper == from && mayGoTo(*q, *n) && itsTurn(*q) && mayStart(*q) &&
-            n->inflight < NodeWindow::kMost) {
-            heardKeeper(*q);
-            send(*q, *n);
-            q->sent.back().lease = from;
+    void onPermitRequest(int from, const PermitMessage& message) {
+        const auto requestId = permitId(from, message.seq);
+        if (Node* node = activeNode(message.shard); node && message.coldAgeMs >= 0)
+            node->coldSince = std::max(node->coldSince, now_ - message.coldAgeMs);
+        newPermitRequests_.push_back(requestId);
+        if (requestsById_.count(requestId)) return;
+        auto& pending = admit(
+            {requestId, "", "", message.key, 0, message.ttlMs, message.units, message.shard, 1},
+            settings_.classes[message.requestClass], settings_.plans[message.plan], message.latencyTargetMs);
+        pending.reservedPart = message.reservedPart;
+        pending.fairPart = std::min(1 - message.reservedPart, message.fairPart);
+        pending.origin = from;
+        pending.originSeq = message.seq;
+        permitQueues_[message.shard][pending.seq] = &pending;
+    }
+    void onGrant(int from, std::uint64_t seq) {
+        const auto found = queue_.find(seq);
+        PendingRequest* pending = found == queue_.end() ? nullptr : found->second;
+        Node* node = pending ? activeNode(pending->targetShard) : nullptr;
+        if (node && pending->coordinator == from && maySendTo(*pending, *node) && isNextOfKey(*pending) &&
+            mayStart(*pending) && node->inflight < NodeWindow::kMax) {
+            onCoordinatorReply(*pending);
+            send(*pending, *node);
+            pending->attempts.back().grantedBy = from;
             return;
         }
-        if (q && q->keeper == from) q->notBefore = now_ + kRetryMs, q->keeper = -1;
-        notes_[from].push_back({NoteKind::Done, seq, -1, static_cast<int>(Outcome::NotSent)});
-    }
-    void heardKeeper(Held& q) {
-        if (!q.acked)
-            askWait_ +=
-                0.2 * (std::clamp(3 * (now_ - q.askedAt), kAskWaitLeastMs, kAskWaitMostMs) - askWait_);
-        q.acked = true;
-        q.askDue = now_ + kAskAgainMs + (now_ - q.arrived) / 2;  // ever rarer: jams make many asks
-    }
-    // A keeper tells all when the time in its node has changed much, for those who place new objects.
-    void tellHeat() {
-        if (!shared_) return;
-        for (auto& [shard, n] : holders_) {
-            if (candidate(shard, 0) != set_.rank || now_ < n->heatToldAt + kHeatMs) continue;
-            n->heat = silent(*n) ? kHeatMost
-                                 : std::min(kHeatMost - 1, std::round(kHeatStep * std::log2(1 + timeIn(*n))));
-            if (std::abs(n->heat - n->heatTold) < kHeatStep) continue;
-            n->heatTold = n->heat;
-            n->heatToldAt = now_;
-            notes_[-1].push_back({NoteKind::Heat, 0, shard, 0, 0, n->heat});
+        if (pending && pending->coordinator == from)
+            pending->notBefore = now_ + kRejectedRetryMs, pending->coordinator = -1;
+        outgoingPermits_[from].push_back({PermitKind::Done, seq, -1, static_cast<int>(Outcome::NotSent)});
+    }
+    void onCoordinatorReply(PendingRequest& pending) {
+        if (!pending.permitAcked)
+            permitWait_ += 0.2 * (std::clamp(3 * (now_ - pending.permitRequestedAt), kMinPermitWaitMs,
+                                             kMaxPermitWaitMs) -
+                                  permitWait_);
+        pending.permitAcked = true;
+        pending.permitDue = now_ + kPermitRetryMs +
+                            (now_ - pending.arrivedAt) / 2;  // backs off, as long queues cause many repeats
+    }
+    // As a coordinator, announces loads that changed much to all hosts, which place new objects by them.
+    void announceLoads() {
+        if (!coordinated_) return;
+        for (auto& [shard, node] : activeNodes_) {
+            if (coordinatorCandidate(shard, 0) != settings_.rank ||
+                now_ < node->loadAnnouncedAt + kLoadIntervalMs)
+                continue;
+            node->load = isSilent(*node)
+                             ? kMaxLoad
+                             : std::min(kMaxLoad - 1, std::round(kLoadStepsPerDoubling *
+                                                                 std::log2(1 + expectedTimeMs(*node))));
+            if (std::abs(node->load - node->announcedLoad) < kLoadStepsPerDoubling) continue;
+            node->announcedLoad = node->load;
+            node->loadAnnouncedAt = now_;
+            outgoingPermits_[-1].push_back({PermitKind::Load, 0, shard, 0, 0, node->load});
         }
     }
-    void flushNotes() {
-        for (const auto& id : newAsks_)
-            if (const auto found = byId_.find(id); found != byId_.end() && found->second->open == 0)
-                notes_[found->second->owner].push_back({NoteKind::Ack, found->second->ownerSeq});
-        newAsks_.clear();
-        for (const auto& [rank, notes] : notes_)
-            for (const auto& bytes : pack(notes)) out_.emplace_back(SendToPeers{rank, bytes});
-        notes_.clear();
-    }
-    void onNotes(int from, const std::vector<Note>& notes) {
-        peers_[from].deafUntil = -1e18;
-        for (const auto& n : notes) {
-            const auto found = held_.find(n.seq);
-            if (n.kind == NoteKind::Ask) take(from, n);
-            else if (n.kind == NoteKind::Grant) granted(from, n.seq);
-            else if (n.kind == NoteKind::Done)
-                on(AttemptEnded{askId(from, n.seq), "", static_cast<Outcome>(n.outcome), 0, n.tookMs, true, 0,
-                                0});
-            else if (n.kind == NoteKind::Ack && found != held_.end() && found->second->keeper == from)
-                heardKeeper(*found->second);
-            else if (Node* node = n.kind == NoteKind::Heat ? holder(n.shard) : nullptr) node->heat = n.heat;
+    void flushPermits() {
+        for (const auto& id : newPermitRequests_)
+            if (const auto found = requestsById_.find(id);
+                found != requestsById_.end() && found->second->openAttempts == 0)
+                outgoingPermits_[found->second->origin].push_back(
+                    {PermitKind::Ack, found->second->originSeq});
+        newPermitRequests_.clear();
+        for (const auto& [rank, messages] : outgoingPermits_)
+            for (const auto& bytes : pack(messages)) actions_.emplace_back(SendToPeers{rank, bytes});
+        outgoingPermits_.clear();
+    }
+    void onPermits(int from, const std::vector<PermitMessage>& messages) {
+        peers_[from].unresponsiveUntil = -1e18;
+        for (const auto& message : messages) {
+            const auto found = queue_.find(message.seq);
+            if (message.kind == PermitKind::Request) onPermitRequest(from, message);
+            else if (message.kind == PermitKind::Grant) onGrant(from, message.seq);
+            else if (message.kind == PermitKind::Done)
+                on(AttemptEnded{permitId(from, message.seq), "", static_cast<Outcome>(message.outcome), 0,
+                                message.tookMs, true, 0, 0});
+            else if (message.kind == PermitKind::Ack && found != queue_.end() &&
+                     found->second->coordinator == from)
+                onCoordinatorReply(*found->second);
+            else if (Node* node = message.kind == PermitKind::Load ? activeNode(message.shard) : nullptr)
+                node->load = message.load;
         }
     }
 
-    // ---------------------------------------------------------------- attempts and answers
-    bool extraAllowed() {
-        if (set_.retryBudgetSpanMs <= 0) return true;
-        const double from = now_ - set_.retryBudgetSpanMs;
-        return extra_.since(from - kBeginLateMs) + 1 <=
-               set_.retryBudgetFloor + set_.retryBudgetShare * taken_.since(from + kBeginLateMs);
-    }
-    void send(Held& q, Node& n) {
-        // A trial at a silent node is bounded where it may be repeated, so that it can be tried again. Should
-        // cover hangs, dead machines and cut links; wastes one attempt where the node was only slow.
-        const bool trial = q.kind->effect == Effect::Repeatable && silent(n);
-        double expireAt = trial ? std::min(q.deadline, now_ + 2 * kCanaryMs) : q.deadline;
-        // Departure: a first attempt that may be repeated has far longer than its like take, not all the
-        // time. Should cover answers that are lost on their way; wastes one attempt of a heavy request.
-        if (q.kind->effect == Effect::Repeatable && q.sent.empty() && !trial && !cold(n) &&
-            n.window.known() && set_.maxAttempts > 1 && extraAllowed())
+    // ---------------------------------------------------------------- attempts and results
+    // Whether the retry budget allows another attempt. Leaves room for one that begins late, when requests
+    // that allow it may have left the span.
+    bool retryAllowed() {
+        if (settings_.retryBudgetSpanMs <= 0) return true;
+        const double from = now_ - settings_.retryBudgetSpanMs;
+        return retries_.sumSince(from - kMaxBeginDelayMs) + 1 <=
+               settings_.retryBudgetFloor +
+                   settings_.retryBudgetShare * acceptedRequests_.sumSince(from + kMaxBeginDelayMs);
+    }
+    void send(PendingRequest& pending, Node& node) {
+        // A trial at a silent node gets a short time-out if the request is repeatable, so that it can be sent
+        // again: the node may hang, its machine be dead or the link cut. The cost: one attempt if it was
+        // slow.
+        const bool trial = pending.requestClass->effect == Effect::Repeatable && isSilent(node);
+        double expireAt = trial ? std::min(pending.deadline, now_ + 2 * kTrialIntervalMs) : pending.deadline;
+        // Likewise a repeatable first attempt expires long after similar ones have finished, in case its
+        // response was lost; the design gives it all its time. The cost: one attempt of a heavy
+        // request.
+        if (pending.requestClass->effect == Effect::Repeatable && pending.attempts.empty() && !trial &&
+            !isCold(node) && node.window.hasBaseline() && settings_.maxAttempts > 1 && retryAllowed())
             expireAt = std::min(
-                expireAt, now_ + std::max(kLostMs, kLostTimes * n.window.msPerUnit() * q.request.units));
-        if (q.owner < 0) {
-            if (!q.drawn) draw(*q.volume, q.request.units);
-            q.drawn = true;
-            if (!q.sent.empty() && set_.retryBudgetSpanMs > 0) extra_.entries.push_back({now_, 1});
-            takeDue(q);
+                expireAt, now_ + std::max(kMinLostAnswerMs, kLostAnswerFactor * node.window.msPerUnit() *
+                                                                pending.request.units));
+        if (pending.origin < 0) {
+            if (!pending.limitDrawn) drawLimit(*pending.volume, pending.request.units);
+            pending.limitDrawn = true;
+            if (!pending.attempts.empty() && settings_.retryBudgetSpanMs > 0)
+                retries_.entries.push_back({now_, 1});
+            consumeEntitlement(pending);
         }
-        q.sent.push_back({&n, now_, true, cold(n)});
-        ++q.open;
-        ++n.inflight;
-        n.unitsOut += q.request.units;
-        n.unansweredFrom = std::min(n.unansweredFrom, now_);
-        n.lastSend = now_;
-        if (cold(n)) n.coldSent.entries.push_back({now_, q.request.units});
-        n.recentKeys = {n.recentKeys[1], q.keyMark()};
-        unhold(q);
-        if (q.owner >= 0) {
-            notes_[q.owner].push_back({NoteKind::Grant, q.ownerSeq});
-            deadlines_.insert({std::min(q.deadline, now_ + kLeaseMs), q.request.id});
-        } else out_.emplace_back(Attempt{q.request.id, n.id, expireAt});
-    }
-    void on(const AttemptEnded& verdict) {
-        const auto found = byId_.find(verdict.id);
-        if (found == byId_.end()) return;
-        Held& q = *found->second;
-        const auto shot = static_cast<std::size_t>(verdict.attempt);
-        if (q.owner >= 0 && q.sent.empty()) return drop(q);  // no longer wanted
-        if (shot >= q.sent.size() || !q.sent[shot].open) return;
-        Sent& s = q.sent[shot];
-        Node& n = *s.node;
-        s.open = false;
-        --q.open;
-        --n.inflight;
-        n.unitsOut -= q.request.units;
-        if (s.lease >= 0)
-            notes_[s.lease].push_back(
-                {NoteKind::Done, q.seq, -1, static_cast<int>(verdict.outcome), verdict.tookMs});
-        const auto was = [&verdict](auto... any) { return ((verdict.outcome == any) || ...); };
-        const bool answered = was(Outcome::Served, Outcome::ServerError);
-        const bool neverRan = was(Outcome::Rejected, Outcome::NotSent, Outcome::NoConnection);
+        pending.attempts.push_back({&node, now_, true, isCold(node)});
+        ++pending.openAttempts;
+        ++node.inflight;
+        node.unitsInFlight += pending.request.units;
+        node.unansweredSince = std::min(node.unansweredSince, now_);
+        node.lastSendAt = now_;
+        if (isCold(node)) node.coldUnitsSent.entries.push_back({now_, pending.request.units});
+        node.recentKeys = {node.recentKeys[1], pending.keyTag()};
+        dequeue(pending);
+        if (pending.origin >= 0) {
+            outgoingPermits_[pending.origin].push_back({PermitKind::Grant, pending.originSeq});
+            deadlines_.insert({std::min(pending.deadline, now_ + kPermitLeaseMs), pending.request.id});
+        } else actions_.emplace_back(Attempt{pending.request.id, node.id, expireAt});
+    }
+    void on(const AttemptEnded& result) {
+        const auto found = requestsById_.find(result.id);
+        if (found == requestsById_.end()) return;
+        PendingRequest& pending = *found->second;
+        const auto index = static_cast<std::size_t>(result.attempt);
+        if (pending.origin >= 0 && pending.attempts.empty())
+            return abandon(pending);  // withdrawn by its host
+        if (index >= pending.attempts.size() || !pending.attempts[index].open) return;
+        SentAttempt& attempt = pending.attempts[index];
+        Node& node = *attempt.node;
+        attempt.open = false;
+        --pending.openAttempts;
+        --node.inflight;
+        node.unitsInFlight -= pending.request.units;
+        if (attempt.grantedBy >= 0)
+            outgoingPermits_[attempt.grantedBy].push_back(
+                {PermitKind::Done, pending.seq, -1, static_cast<int>(result.outcome), result.tookMs});
+        const auto isOneOf = [&result](auto... outcomes) { return ((result.outcome == outcomes) || ...); };
+        const bool answered = isOneOf(Outcome::Served, Outcome::ServerError);
+        const bool neverRan = isOneOf(Outcome::Rejected, Outcome::NotSent, Outcome::NoConnection);
         const bool inDoubt = !answered && !neverRan;
-        if (answered || was(Outcome::Rejected)) {
-            n.unansweredFrom = n.inflight > 0 ? now_ : 1e18;
-            n.dropped = 0;
+        if (answered || isOneOf(Outcome::Rejected)) {
+            node.unansweredSince = node.inflight > 0 ? now_ : 1e18;
+            node.droppedConnections = 0;
         }
-        if (was(Outcome::Served)) {
-            // A node that dropped connections may have come back cold before the list says so.
-            if (n.suspect && s.at >= n.notBefore) {
-                n.suspect = false;
-                n.coldFrom = std::max(n.coldFrom, now_);
+        if (isOneOf(Outcome::Served)) {
+            // A node that lost its connections may have restarted before the list reports it.
+            if (node.suspect && attempt.sentAt >= node.notBefore) {
+                node.suspect = false;
+                node.coldSince = std::max(node.coldSince, now_);
             }
-            n.window.served({verdict.tookMs, q.request.units, std::max(1.0, q.kind->latencyTargetMs), s.at},
-                            n.inflight, now_);
-            if (cold(n)) n.coldDone.entries.push_back({now_, q.request.units});
-            if (q.owner < 0) q.volume->dues.served(q.request.units, now_);
-        } else if (was(Outcome::Rejected)) {
-            n.window.turnedAway();
-            n.notBefore = std::max(n.notBefore, now_ + kRetryMs);
-        } else if (was(Outcome::NoConnection, Outcome::ConnectionLost)) {
-            // A machine that died drops all its connections and takes none; where answers come in between it
-            // was the connection alone.
-            n.dropped += was(Outcome::NoConnection) ? kRefusedCounts : 1;
-            n.suspect = n.suspect || n.dropped >= kDroppedSuspect;
-            if (n.suspect) n.notBefore = now_ + kSuspectRetryMs;
-            else if (was(Outcome::NoConnection)) n.notBefore = std::max(n.notBefore, now_ + kRetryMs);
+            node.window.onServed({result.tookMs, pending.request.units,
+                                  std::max(1.0, pending.requestClass->latencyTargetMs), attempt.sentAt},
+                                 node.inflight, now_);
+            if (isCold(node)) node.coldUnitsServed.entries.push_back({now_, pending.request.units});
+            if (pending.origin < 0) pending.volume->entitlement.onServed(pending.request.units, now_);
+        } else if (isOneOf(Outcome::Rejected)) {
+            node.window.onRejected();
+            node.notBefore = std::max(node.notBefore, now_ + kRejectedRetryMs);
+        } else if (isOneOf(Outcome::NoConnection, Outcome::ConnectionLost)) {
+            // A dead machine drops all connections and accepts none; a response in between shows that just
+            // one connection failed.
+            node.droppedConnections += isOneOf(Outcome::NoConnection) ? kRefusedConnectionWeight : 1;
+            node.suspect = node.suspect || node.droppedConnections >= kSuspectDropCount;
+            if (node.suspect) node.notBefore = now_ + kSuspectRetryMs;
+            else if (isOneOf(Outcome::NoConnection))
+                node.notBefore = std::max(node.notBefore, now_ + kRejectedRetryMs);
         }
-        if (verdict.usage > 0 && set_.usagePeriodMs > 0)
-            q.volume->dues.metered((verdict.usage - 1) / 100 * q.plan->nominal, now_);
-        if (inDoubt && q.ordered()) {
-            auto& k = keys_[q.request.key];
-            k.restUntil = std::max(k.restUntil, now_ + set_.settleAfterDoubtMs);
-            wake(k.restUntil);
+        if (result.usage > 0 && settings_.usagePeriodMs > 0)
+            pending.volume->entitlement.onUsage((result.usage - 1) / 100 * pending.plan->nominal, now_);
+        if (inDoubt && pending.isOrdered()) {
+            auto& keyQueue = keyQueues_[pending.request.key];
+            keyQueue.blockedUntil = std::max(keyQueue.blockedUntil, now_ + settings_.settleAfterDoubtMs);
+            wakeAt(keyQueue.blockedUntil);
         }
-        if (!neverRan && !q.mayHaveRun) {
-            q.mayHaveRun = true;
-            q.mayRunAt = s.at;
-            q.boundShard = n.shard;
-            q.boundZone = n.zone;
+        if (!neverRan && !pending.mayHaveRun) {
+            pending.mayHaveRun = true;
+            pending.mayHaveRunAt = attempt.sentAt;
+            pending.boundShard = node.shard;
+            pending.boundZone = node.zone;
         }
-        if (verdict.requestEnded) q.ended = true;
-        if (!q.ended && q.open == 0) again(q, verdict.outcome);
-        forget(q);
-    }
-    // After an attempt that failed: hold it again where its class and the rules allow, else answer.
-    void again(Held& q, Outcome outcome) {
-        if (!mayRepeat(q, set_, now_)) return answer(q, EndReason::AttemptsUsed);
-        q.notBefore = now_ + (outcome == Outcome::Rejected ? kRetryMs : 0);
-        q.keeper = -1;
-        held_[q.seq] = &q;
-    }
-    void answer(Held& q, EndReason reason) {
-        if (harmlessToRefuse(q)) refuse(q.request.id, reason);
-        else out_.emplace_back(Fail{q.request.id, reason});
-        q.ended = true;
-        unhold(q);
+        if (result.requestEnded) pending.ended = true;
+        if (!pending.ended && pending.openAttempts == 0) retryOrAnswer(pending, result.outcome);
+        removeIfDone(pending);
+    }
+    // After a failed attempt: queues the request again if its class and the budgets allow it, else answers
+    // it.
+    void retryOrAnswer(PendingRequest& pending, Outcome outcome) {
+        if (!mayRetry(pending, settings_, now_)) return endUnserved(pending, EndReason::AttemptsUsed);
+        pending.notBefore = now_ + (outcome == Outcome::Rejected ? kRejectedRetryMs : 0);
+        pending.coordinator = -1;
+        queue_[pending.seq] = &pending;
+    }
+    // Answers a request that was not served and removes it from the queues.
+    void endUnserved(PendingRequest& pending, EndReason reason) {
+        if (safeToRefuse(pending)) refuse(pending.request.id, reason);
+        else actions_.emplace_back(Fail{pending.request.id, reason});
+        pending.ended = true;
+        dequeue(pending);
     }
     void refuse(const std::string& id, EndReason reason, double retryAfterMs = 0) {
-        out_.emplace_back(Refuse{id, std::clamp(retryAfterMs, 0.0, set_.maxRetryAfterMs), reason});
-    }
-    void refuse(Held& q, double retryAfterMs) {
-        refuse(q.request.id, EndReason::BeyondLimit, retryAfterMs);
-        q.ended = true;
-        forget(q);
-    }
-    void forget(Held& q) {
-        if (!q.ended || q.open > 0) return;
-        if (q.ordered()) {
-            auto& turn = keys_[q.request.key].turn;
-            turn.remove(&q);
+        actions_.emplace_back(Refuse{id, std::clamp(retryAfterMs, 0.0, settings_.maxRetryAfterMs), reason});
+    }
+    void refuse(PendingRequest& pending, double retryAfterMs) {
+        refuse(pending.request.id, EndReason::BeyondLimit, retryAfterMs);
+        pending.ended = true;
+        removeIfDone(pending);
+    }
+    // Drops the request once it has its answer and no attempt is in flight.
+    void removeIfDone(PendingRequest& pending) {
+        if (!pending.ended || pending.openAttempts > 0) return;
+        if (pending.isOrdered()) {
+            auto& keyRequests = keyQueues_[pending.request.key].requests;
+            keyRequests.remove(&pending);
         }
-        unhold(q);
-        if (q.owner < 0) {
-            release(q);
-            --q.volume->users;
+        dequeue(pending);
+        if (pending.origin < 0) {
+            releaseReservation(pending);
+            --pending.volume->openRequests;
         }
-        const auto at = byId_.at(q.request.id);
-        byId_.erase(q.request.id);
-        pool_.erase(at);
+        const auto position = requestsById_.at(pending.request.id);
+        requestsById_.erase(pending.request.id);
+        requests_.erase(position);
     }
-    void drop(Held& q) {
-        unhold(q);
-        q.ended = true;
-        forget(q);
+    void abandon(PendingRequest& pending) {
+        dequeue(pending);
+        pending.ended = true;
+        removeIfDone(pending);
     }
     void on(const ClientGone& gone) {
-        if (const auto found = byId_.find(gone.id); found != byId_.end()) drop(*found->second);
+        if (const auto found = requestsById_.find(gone.id); found != requestsById_.end())
+            abandon(*found->second);
     }
     void on(const ResponseStarted& started) {
-        const auto found = byId_.find(started.id);
-        if (found != byId_.end()) found->second->started = found->second->kind->stream;
-    }
-    void on(const ShutdownDeadline& by) {
-        for (auto& q : pool_) {
-            if (q.owner >= 0 || q.deadline <= by.atMs) continue;
-            q.deadline = by.atMs;
-            deadlines_.insert({q.deadline, q.request.id});
+        const auto found = requestsById_.find(started.id);
+        if (found != requestsById_.end())
+            found->second->responseStarted = found->second->requestClass->stream;
+    }
+    void on(const ShutdownDeadline& shutdown) {
+        for (auto& pending : requests_) {
+            if (pending.origin >= 0 || pending.deadline <= shutdown.atMs) continue;
+            pending.deadline = shutdown.atMs;
+            deadlines_.insert({pending.deadline, pending.request.id});
         }
     }
     template <class Unused>
-    void on(const Unused&) {}  // wakes and probes' results
-    // Held work is answered just before its client gives up, and sooner once its time to repeat is over.
+    void on(const Unused&) {}  // timers and probe results
+    // Ends waiting requests: just before their client gives up, and sooner if they were never sent or may no
+    // longer be repeated.
     void expire() {
-        std::vector<Held*> over;
-        const double margin = 2 * set_.tickMs;
-        for (auto& [seq, q] : held_) {
-            const double until = q->sent.empty() ? giveUpAt(*q) + margin : q->deadline;
-            if (now_ + margin >= std::min(until, q->deadline) || forgottenByNodes(*q, now_))
-                over.push_back(q);
-            else wake(std::min(until, q->deadline) - margin);
+        std::vector<PendingRequest*> expired;
+        const double margin = 2 * settings_.tickMs;
+        for (auto& [seq, pending] : queue_) {
+            const double expiresAt =
+                pending->attempts.empty() ? refuseAt(*pending) + margin : pending->deadline;
+            if (now_ + margin >= std::min(expiresAt, pending->deadline) || keyMayBeForgotten(*pending, now_))
+                expired.push_back(pending);
+            else wakeAt(std::min(expiresAt, pending->deadline) - margin);
         }
-        // An attempt whose outcome stays out past the client's time: the answer is owed all the same. Another
-        // host's: its place in the node is taken back, for its owner may be dead or its word lost.
+        // An attempt without a result at the client's deadline: the client gets its answer all the same. For
+        // a request of another host the place in the node is taken back, since that host may be dead or its
+        // message lost.
         while (!deadlines_.empty() && deadlines_.begin()->first <= now_) {
-            const auto found = byId_.find(deadlines_.begin()->second);
+            const auto found = requestsById_.find(deadlines_.begin()->second);
             deadlines_.erase(deadlines_.begin());
-            if (found == byId_.end()) continue;
-            Held& q = *found->second;
-            if (q.owner >= 0) on(AttemptEnded{q.request.id, "", Outcome::NoAnswer, 0, 0, true, 0, 0});
-            else if (!q.started && !held_.count(q.seq)) over.push_back(&q);
+            if (found == requestsById_.end()) continue;
+            PendingRequest& pending = *found->second;
+            if (pending.origin >= 0)
+                on(AttemptEnded{pending.request.id, "", Outcome::NoAnswer, 0, 0, true, 0, 0});
+            else if (!pending.responseStarted && !queue_.count(pending.seq)) expired.push_back(&pending);
         }
-        if (!deadlines_.empty()) wake(deadlines_.begin()->first);
-        for (auto* q : over) {
-            if (!q->ended) answer(*q, q->open > 0 ? EndReason::TimeOver : EndReason::NotSentInTime);
-            forget(*q);
+        if (!deadlines_.empty()) wakeAt(deadlines_.begin()->first);
+        for (auto* pending : expired) {
+            if (!pending->ended)
+                endUnserved(*pending,
+                            pending->openAttempts > 0 ? EndReason::TimeOver : EndReason::NotSentInTime);
+            removeIfDone(*pending);
         }
     }
 
-    // ---------------------------------------------------------------- peer reports
-    // To hosts known to share a volume, and only what changed; to all once a volume was first short of
-    // credit.
-    void report() {
-        if (!set_.maySendToPeers || set_.hosts == 1) return;
-        std::map<int, Report> reports;
-        std::vector<Introduction> words;
-        for (auto& [id, v] : volumes_) {
-            if (!v.limited()) continue;
-            const double mine = v.held + v.rLast;
-            const CreditFigures mineNow{id, v.rLast, v.held, v.total, 0};
-            const bool changed = mine > 0 || v.busy;
-            v.busy = mine > 0;
-            // Told again now and then: the word may be lost, and a restarted host has forgotten it.
-            const bool everywhere = v.hosts == set_.hosts;
-            const bool announce = v.starved && now_ >= v.announceFrom;
+    // ---------------------------------------------------------------- credit reports
+    // Reports to the hosts known to share a volume, and only figures that changed; to all hosts when the
+    // volume is first short of credit.
+    void reportCredits() {
+        if (!settings_.maySendToPeers || settings_.hosts == 1) return;
+        std::map<int, CreditReport> reports;
+        std::vector<VolumeIntroduction> introductions;
+        for (auto& [id, volume] : volumes_) {
+            if (!volume.hasLimit()) continue;
+            const double ownWeight = volume.queuedUnits + volume.sentLastSubperiod;
+            const CreditFigures figures{id, volume.sentLastSubperiod, volume.queuedUnits, volume.totalSent,
+                                        0};
+            const bool hasChanged = ownWeight > 0 || volume.reportedBusy;
+            volume.reportedBusy = ownWeight > 0;
+            // Repeated at intervals: a report may be lost, and a restarted host has forgotten it.
+            const bool everywhere = volume.hosts == settings_.hosts;
+            const bool announce = volume.needsCredit && now_ >= volume.announceAfter;
             if (announce) {
-                reports[-1].figures.push_back(mineNow);
-                if (everywhere) words.push_back({id, static_cast<std::size_t>(v.plan - set_.plans.data())});
-                v.announceFrom = now_ + kForgetMs;
-                v.starved = false;
+                reports[-1].figures.push_back(figures);
+                if (everywhere)
+                    introductions.push_back(
+                        {id, static_cast<std::size_t>(volume.plan - settings_.plans.data())});
+                volume.announceAfter = now_ + kIdleForgetMs;
+                volume.needsCredit = false;
             }
-            for (auto& [rank, view] : v.peers) {
-                if ((announce || !changed) && !view.greet) continue;
-                view.greet = false;
-                reports[rank].figures.push_back(mineNow);
+            for (auto& [rank, peer] : volume.peers) {
+                if ((announce || !hasChanged) && !peer.reportDue) continue;
+                peer.reportDue = false;
+                reports[rank].figures.push_back(figures);
             }
         }
-        for (const auto& bytes : pack(words)) out_.emplace_back(SendToPeers{-1, bytes});
-        for (auto& [rank, r] : reports) {
-            r.incarnation = incarnation_;
-            r.subperiod = sub_;
-            for (const auto& bytes : pack(r)) out_.emplace_back(SendToPeers{rank, bytes});
+        for (const auto& bytes : pack(introductions)) actions_.emplace_back(SendToPeers{-1, bytes});
+        for (auto& [rank, creditReport] : reports) {
+            creditReport.incarnation = incarnation_;
+            creditReport.subperiod = subperiod_;
+            for (const auto& bytes : pack(creditReport)) actions_.emplace_back(SendToPeers{rank, bytes});
         }
     }
-    // Peer bytes are untrusted: all of a message is read and checked before any of it counts.
+    // Messages are untrusted: each is read and checked as a whole before any of it takes effect.
     void on(const PeerMessage& message) {
-        if (message.from < 0 || message.from >= set_.hosts || message.from == set_.rank) return;
-        const auto notes = readNotes(message.bytes, set_);
-        const auto quota = readQuota(message.bytes, set_);
-        const auto words = readIntroductions(message.bytes, set_);
-        const auto report = readReport(message.bytes);
-        unreadable_ += !notes && !quota && !words && !report;
-        if (notes && shared_) onNotes(message.from, *notes);
-        if (quota) onQuota(message.from, *quota);
-        if (words)
-            for (const auto& word : *words) join(message.from, word);
+        if (message.from < 0 || message.from >= settings_.hosts || message.from == settings_.rank) return;
+        const auto permits = readPermits(message.bytes, settings_);
+        const auto quota = readQuotaMessage(message.bytes, settings_);
+        const auto introductions = readIntroductions(message.bytes, settings_);
+        const auto report = readCreditReport(message.bytes);
+        unreadableMessages_ += !permits && !quota && !introductions && !report;
+        if (permits && coordinated_) onPermits(message.from, *permits);
+        if (quota) onQuotaMessage(message.from, *quota);
+        if (introductions)
+            for (const auto& introduction : *introductions) joinVolume(message.from, introduction);
         if (!report) return;
-        const auto [incarnation, toldSub, figures] = *report;
-        auto& p = peers_[message.from];
-        if (!p.clock.meet(incarnation, toldSub, now_)) return;
-        const auto sub = p.clock.own(toldSub, sub_, now_);
-        if (sub > sub_ + 2) return;
-        if (sub == sub_) {
-            const double delay = std::clamp(now_ - boundaryAt_, set_.tickMs, kMostPeerWaitMs);
+        const auto [incarnation, peerSubperiod, figures] = *report;
+        auto& peer = peers_[message.from];
+        if (!peer.clock.onReport(incarnation, peerSubperiod, now_)) return;
+        const auto subperiod = peer.clock.toLocalSubperiod(peerSubperiod, subperiod_, now_);
+        if (subperiod > subperiod_ + 2) return;
+        if (subperiod == subperiod_) {
+            const double delay = std::clamp(now_ - subperiodStartedAt_, settings_.tickMs, kMaxPeerWaitMs);
             peerDelay_ += 0.05 * (delay - peerDelay_);
         }
-        for (const auto& e : figures) {
-            if (e.r + e.held > 0) usersOf_.heard(e.volume, message.from, now_);
-            const auto found = volumes_.find(e.volume);
-            if (found == volumes_.end() || !found->second.limited() || movedAway(found)) continue;
-            auto& v = found->second;
-            const auto known = v.peers.find(message.from);
-            if (known == v.peers.end() &&
-                v.peers.size() + 1 >= static_cast<std::size_t>(v.hosts) + kStrangersMost)
+        for (const auto& entry : figures) {
+            if (entry.sentUnits + entry.queuedUnits > 0)
+                activeHosts_.record(entry.volume, message.from, now_);
+            const auto found = volumes_.find(entry.volume);
+            if (found == volumes_.end() || !found->second.hasLimit() || forgetIfMoved(found)) continue;
+            auto& volume = found->second;
+            const auto known = volume.peers.find(message.from);
+            if (known == volume.peers.end() &&
+                volume.peers.size() + 1 >= static_cast<std::size_t>(volume.hosts) + kMaxExtraPeers)
+                continue;
+            auto& last = volume.peers[message.from];
+            const bool newProcess = known == volume.peers.end() || last.incarnation != incarnation;
+            if (newProcess ? last.heardAt > 0 && last.previousIncarnation == incarnation
+                           : subperiod <= last.subperiod)
                 continue;
-            auto& view = v.peers[message.from];
-            const bool anew = known == v.peers.end() || view.incarnation != incarnation;
-            if (anew ? view.heardAt > 0 && view.previous == incarnation : sub <= view.sub) continue;
-            refill(v);
-            // The running total heals what lost messages said; a new incarnation starts a new one.
-            const double spent = anew ? e.r : std::max(0.0, e.total - view.total);
-            v.level = std::max(v.level - spent, -v.plan->limitBurst);
-            if (anew) view.previous = view.incarnation, view.incarnation = incarnation, view.greet = true;
-            view.sub = sub;
-            view.total = e.total;
-            view.r = e.r;
-            view.held = e.held;
-            view.heardAt = now_;
+            refill(volume);
+            // The running total makes up for lost reports; a new process of the peer starts a new total.
+            const double sentUnits =
+                newProcess ? entry.sentUnits : std::max(0.0, entry.totalSent - last.totalSent);
+            volume.level = std::max(volume.level - sentUnits, -volume.plan->limitBurst);
+            if (newProcess)
+                last.previousIncarnation = last.incarnation, last.incarnation = incarnation,
+                last.reportDue = true;
+            last.subperiod = subperiod;
+            last.totalSent = entry.totalSent;
+            last.sentUnits = entry.sentUnits;
+            last.queuedUnits = entry.queuedUnits;
+            last.heardAt = now_;
         }
     }
-    // A volume that idles here while as many others as it has hosts report work: its requests come through
-    // those, who may draw all of it. Its share here is void; true: it was forgotten.
-    bool movedAway(std::map<std::int64_t, Volume>::iterator at) {
-        const auto& v = at->second;
-        const bool idle = v.users == 0 && now_ > v.usedAt + kIdleSubs * kSubperiodMs;
-        if (!idle || usersOf_.count(at->first, now_) < static_cast<std::size_t>(v.hosts)) return false;
-        note(v, LimitAccount::Moment::Forgotten);
-        volumes_.erase(at);
+    // Drops a volume that is idle here while as many other hosts as it has report work: its requests come
+    // through those hosts, which may draw all of its limit, so the share here is void. True: it was dropped.
+    bool forgetIfMoved(std::map<std::int64_t, Volume>::iterator volumeIt) {
+        const auto& volume = volumeIt->second;
+        const bool idle =
+            volume.openRequests == 0 && now_ > volume.lastRequestAt + kIdleSubperiods * kSubperiodMs;
+        if (!idle || activeHosts_.count(volumeIt->first, now_) < static_cast<std::size_t>(volume.hosts))
+            return false;
+        reportAccount(volume, LimitAccount::Moment::Forgotten);
+        volumes_.erase(volumeIt);
         return true;
     }
-    // Memory stays bounded: what idles for long is dropped, once its parts are surely full again.
-    void dropIdle() {
-        usersOf_.forgetOld(now_);
-        quotaPool_.forgetFull(now_);
+    // Bounds memory: drops what has been idle for long, volumes only once their parts are full again.
+    void removeIdle() {
+        activeHosts_.removeExpired(now_);
+        quotaPool_.removeFull(now_);
         for (auto it = volumes_.begin(); it != volumes_.end();) {
-            auto& v = it->second;
-            const double full = v.limited() ? 2000 * v.plan->limitBurst / v.plan->limit : 0;
-            for (auto p = v.peers.begin(); p != v.peers.end();)
-                p = now_ > p->second.heardAt + kForgetMs ? v.peers.erase(p) : std::next(p);
-            const bool idle = v.users == 0 && v.peers.empty() && now_ > v.usedAt + std::max(kForgetMs, full);
-            if (idle) note(v, LimitAccount::Moment::Forgotten);
+            auto& volume = it->second;
+            const double full = volume.hasLimit() ? 2000 * volume.plan->limitBurst / volume.plan->limit : 0;
+            for (auto peer = volume.peers.begin(); peer != volume.peers.end();)
+                peer =
+                    now_ > peer->second.heardAt + kIdleForgetMs ? volume.peers.erase(peer) : std::next(peer);
+            const bool idle = volume.openRequests == 0 && volume.peers.empty() &&
+                              now_ > volume.lastRequestAt + std::max(kIdleForgetMs, full);
+            if (idle) reportAccount(volume, LimitAccount::Moment::Forgotten);
             it = idle ? volumes_.erase(it) : std::next(it);
         }
-        for (auto it = keys_.begin(); it != keys_.end();)
-            it = it->second.turn.empty() && it->second.restUntil <= now_ ? keys_.erase(it) : std::next(it);
+        for (auto it = keyQueues_.begin(); it != keyQueues_.end();)
+            it = it->second.requests.empty() && it->second.blockedUntil <= now_ ? keyQueues_.erase(it)
+                                                                                : std::next(it);
     }
 
     // ---------------------------------------------------------------- timers
-    void wake(double at) { nextWake_ = std::min(nextWake_, at); }
-    void arm() {
-        nextWake_ = std::max(nextWake_, now_ + set_.tickMs);
-        if (armedAt_ <= now_ + set_.tickMs / 2 || nextWake_ < armedAt_) {
+    void wakeAt(double at) { nextWake_ = std::min(nextWake_, at); }
+    // Asks for a timer at the earliest time wanted, unless one is set for then or before.
+    void setTimer() {
+        nextWake_ = std::max(nextWake_, now_ + settings_.tickMs);
+        if (armedAt_ <= now_ + settings_.tickMs / 2 || nextWake_ < armedAt_) {
             armedAt_ = nextWake_;
-            out_.emplace_back(SetTimer{nextWake_ - now_});
+            actions_.emplace_back(SetTimer{nextWake_ - now_});
         }
         nextWake_ = 1e18;
     }
     double uniform() { return static_cast<double>(random_() >> 11) / 9007199254740992.0; }
 
-    Settings set_;
+    Settings settings_;
     std::mt19937_64 random_;
-    std::vector<Action> out_;
+    std::vector<Action> actions_;
     double now_ = 0, startedAt_ = -1, nextWake_ = 1e18, armedAt_ = -1e18;
-    bool due_ = false, shared_ = false, quotaWanted_ = false;
-    double askAt_ = 1e18, askWait_ = kAskWaitMs, boundaryAt_ = 0, peerDelay_ = kFirstPeerWaitMs / 2;
-    double fairPerWeight_ = 0, beyond_ = 0, fairLearnedAt_ = 0;
-    std::uint64_t sub_ = 0, seq_ = 0, unreadable_ = 0;
+    bool splitDue_ = false, coordinated_ = false, quotaWanted_ = false;
+    double subscribeAt_ = 1e18, permitWait_ = kInitialPermitWaitMs, subperiodStartedAt_ = 0,
+           peerDelay_ = kInitialPeerWaitMs / 2;
+    double fairUnitsPerWeight_ = 0, unreservedUnits_ = 0, fairUpdatedAt_ = 0;
+    std::uint64_t subperiod_ = 0, seq_ = 0, unreadableMessages_ = 0;
     std::uint32_t incarnation_ = 0;
-    std::map<int, Node*> holders_;
-    std::map<int, std::vector<Note>> notes_;
-    std::vector<std::string> newAsks_;
+    std::map<int, Node*> activeNodes_;                           // by shard
+    std::map<int, std::vector<PermitMessage>> outgoingPermits_;  // by rank; -1: to all
+    std::vector<std::string> newPermitRequests_;
     std::map<std::string, Node> nodes_;
-    std::map<int, std::set<std::string>> byShard_;  // ids of all known nodes
-    std::set<std::string> leaving_;                 // gone, perhaps with something out
+    std::map<int, std::set<std::string>> nodesByShard_;  // ids of all known nodes
+    std::set<std::string> goneNodes_;                    // may still have attempts in flight
     std::map<std::int64_t, Volume> volumes_;
-    VolumeUsers usersOf_;
-    QuotaPool quotaPool_;  // what this host leases to others, and to itself
+    ActiveHosts activeHosts_;
+    QuotaPool quotaPool_;  // leases to other hosts and to itself
     std::map<int, Peer> peers_;
-    std::list<Held> pool_;
-    std::unordered_map<std::string, std::list<Held>::iterator> byId_;
-    std::map<std::uint64_t, Held*> held_;                 // own
-    std::map<int, std::map<std::uint64_t, Held*>> asks_;  // others', by shard
-    std::map<std::int64_t, KeyTurn> keys_;
-    std::map<int, double> backlog_;
+    std::list<PendingRequest> requests_;
+    std::unordered_map<std::string, std::list<PendingRequest>::iterator> requestsById_;
+    std::map<std::uint64_t, PendingRequest*> queue_;                        // own requests that wait, by seq
+    std::map<int, std::map<std::uint64_t, PendingRequest*>> permitQueues_;  // of other hosts, by shard
+    std::map<std::int64_t, KeyQueue> keyQueues_;
+    std::map<int, double> backlogUnits_;
     std::unordered_map<const RequestClass*, double> longestTtl_;
-    UnitLog taken_, extra_;  // in requests
-    std::set<std::pair<double, std::string>> deadlines_;
+    SlidingSum acceptedRequests_, retries_;               // counts
+    std::set<std::pair<double, std::string>> deadlines_;  // time and request id
 };
 
 Scheduler::Scheduler(const Settings& settings, std::uint64_t seed)
--- a/src/policy/quota_client.cpp
+++ b/src/policy/quota_client.cpp
@@ -8,61 +8,61 @@
 namespace spokewheel {
 namespace {
 
-constexpr double kAnswerWaitMs = 80, kSilenceMostMs = 2000;
-constexpr int kTries = 2;
-constexpr double kLeastLease = 0.1;  // units; the wire tells tenths
+constexpr double kMinResponseWaitMs = 80, kMaxBackoffMs = 2000;
+constexpr int kMaxTries = 2;
+constexpr double kMinLeaseUnits = 0.1;  // the resolution of the messages
 
 }  // namespace
 
-std::optional<QuotaAsk> QuotaClient::next(const Need& need, QuotaAsk ask, double nowMs) {
+std::optional<QuotaRequest> QuotaClient::nextRequest(const Need& need, QuotaRequest request, double nowMs) {
     wanted_ = false;
-    if (nowMs < answerDueMs_) return std::nullopt;
-    if (ask_.seq != 0 && tries_ < kTries) return ask_;
-    const bool second = pools_[0].askAgainAtMs > nowMs && pools_[1].askAgainAtMs < pools_[0].askAgainAtMs;
-    ask.pool = second ? 1 : 0;
-    if (nowMs < pools_[ask.pool].askAgainAtMs) return std::nullopt;
-    const double least = *std::min_element(need.waiting.begin(), need.waiting.end());
-    const double all = std::accumulate(need.waiting.begin(), need.waiting.end(), 0.0);
-    ask.least = std::max(kLeastLease, least - need.held);
-    ask.most = std::max(ask.least, std::min(all, need.credit) - need.held);
-    ask_ = ask;
-    askedAtMs_ = nowMs;
+    if (nowMs < responseDueMs_) return std::nullopt;
+    if (request_.seq != 0 && tries_ < kMaxTries) return request_;
+    const bool useSecond = pools_[0].retryAtMs > nowMs && pools_[1].retryAtMs < pools_[0].retryAtMs;
+    request.pool = useSecond ? 1 : 0;
+    if (nowMs < pools_[request.pool].retryAtMs) return std::nullopt;
+    const double smallest = *std::min_element(need.waiting.begin(), need.waiting.end());
+    const double total = std::accumulate(need.waiting.begin(), need.waiting.end(), 0.0);
+    request.minUnits = std::max(kMinLeaseUnits, smallest - need.available);
+    request.maxUnits = std::max(request.minUnits, std::min(total, need.credit) - need.available);
+    request_ = request;
+    requestedAtMs_ = nowMs;
     tries_ = 0;
-    return ask_;
+    return request_;
 }
 
-void QuotaClient::sent(double nowMs, double answerWaitMs) {
-    answerDueMs_ = nowMs + std::max(kAnswerWaitMs, answerWaitMs);
-    if (++tries_ < kTries) return;
-    auto& pool = pools_[ask_.pool];
-    pool.askAgainAtMs = answerDueMs_ + pool.silenceMs;
-    pool.silenceMs = std::min(kSilenceMostMs, std::max(kAnswerWaitMs, 2 * pool.silenceMs));
+void QuotaClient::onRequestSent(double nowMs, double responseWaitMs) {
+    responseDueMs_ = nowMs + std::max(kMinResponseWaitMs, responseWaitMs);
+    if (++tries_ < kMaxTries) return;
+    auto& pool = pools_[request_.pool];
+    pool.retryAtMs = responseDueMs_ + pool.backoffMs;
+    pool.backoffMs = std::min(kMaxBackoffMs, std::max(kMinResponseWaitMs, 2 * pool.backoffMs));
 }
 
-std::optional<double> QuotaClient::leasedUntil(const QuotaAnswer& answer, double nowMs) {
-    if (!awaits(answer)) return std::nullopt;
-    auto& pool = pools_[ask_.pool];
-    ask_.seq = 0;
-    answerDueMs_ = 0;
-    pool.silenceMs = 0;
-    pool.askAgainAtMs = nowMs;
-    if (answer.units > 0) return askedAtMs_ + kQuotaLeaseMs;
-    pool.askAgainAtMs += answer.retryAfterMs;
-    pool.refused = {nowMs, ask_.least};
+std::optional<double> QuotaClient::onResponse(const QuotaResponse& response, double nowMs) {
+    if (!isAwaited(response)) return std::nullopt;
+    auto& pool = pools_[request_.pool];
+    request_.seq = 0;
+    responseDueMs_ = 0;
+    pool.backoffMs = 0;
+    pool.retryAtMs = nowMs;
+    if (response.units > 0) return requestedAtMs_ + kQuotaLeaseMs;
+    pool.retryAtMs += response.retryAfterMs;
+    pool.lastRefusal = {nowMs, request_.minUnits};
     return std::nullopt;
 }
 
 double QuotaClient::wakeAtMs(double nowMs) const {
-    if (nowMs < answerDueMs_) return answerDueMs_;
-    return std::min(pools_[0].askAgainAtMs, pools_[1].askAgainAtMs);
+    if (nowMs < responseDueMs_) return responseDueMs_;
+    return std::min(pools_[0].retryAtMs, pools_[1].retryAtMs);
 }
 
-double QuotaClient::mostLeft(const LimitParts& parts, int hosts, double nowMs) const {
+double QuotaClient::maxUnitsLeft(const LimitParts& parts, int hosts, double nowMs) const {
     double units = hosts * parts.own.burst;
-    for (std::size_t i = 0; i < kPools; ++i) {
-        const auto& refused = pools_[i].refused;
-        const double filled = parts.pools[i].rate * (nowMs - refused.atMs) / 1000;
-        units += std::min(parts.pools[i].burst, refused.units + filled);
+    for (std::size_t i = 0; i < kPoolsPerVolume; ++i) {
+        const auto& lastRefusal = pools_[i].lastRefusal;
+        const double refilled = parts.pools[i].rate * (nowMs - lastRefusal.atMs) / 1000;
+        units += std::min(parts.pools[i].burst, lastRefusal.units + refilled);
     }
     return units;
 }
--- a/src/policy/quota_client.hpp
+++ b/src/policy/quota_client.hpp
@@ -1,7 +1,7 @@
-// What a host asked of the pools of a volume's limit (quota_pool.hpp), and when each may be asked again. One
-// ask is out at a time. A pool that does not answer is asked once more, then left alone for a time that
-// doubles with each silence, while the other pool is asked. Free of I/O and clocks: times are milliseconds on
-// the host's clock, amounts units.
+// A host's requests for leases from the pools of one volume's limit (quota_pool.hpp), and when each pool may
+// be asked again. One request is in flight at a time. A pool that does not respond is asked once more and
+// then left alone for a time that doubles with each time-out, while the other pool is asked. Free of I/O and
+// clocks: times are milliseconds on the host's clock, amounts units.
 #pragma once
 
 #include <array>
@@ -15,43 +15,48 @@
 
 class QuotaClient {
   public:
-    // What waits for a lease: the units of each request, and what the host may send beyond what it holds.
+    // What waits for a lease.
     struct Need {
-        std::vector<double> waiting;
-        double held = 0;    // may be drawn without a lease
-        double credit = 0;  // at most as much may be sent in all
+        std::vector<double> waiting;  // units of each request
+        double available = 0;         // may be drawn without a lease
+        double credit = 0;            // at most so much may be sent in all
     };
+    // The time at which a pool last had less than `units`.
     struct Refusal {
-        double atMs = -1e18, units = 0;  // when a pool had less than so many
+        double atMs = -1e18, units = 0;
     };
 
-    // Something waits that the share does not cover.
-    void want() { wanted_ = true; }
+    // Records that requests wait which the host's own share does not cover.
+    void markWanted() { wanted_ = true; }
     bool wanted() const { return wanted_; }
-    // The ask to send now, also one that is sent again, the same by its number; nothing while an answer may
-    // still come or no pool may be asked, see wakeAtMs(). `ask` tells volume, plan, hosts and a new number.
-    std::optional<QuotaAsk> next(const Need& need, QuotaAsk ask, double nowMs);
-    // The ask went out to another host.
-    void sent(double nowMs, double answerWaitMs);
-    // Until when what an answer leases may be drawn; nothing where it leases nothing or answers no ask.
-    std::optional<double> leasedUntil(const QuotaAnswer& answer, double nowMs);
-    bool awaits(const QuotaAnswer& answer) const { return answer.seq != 0 && ask_.seq == answer.seq; }
+    // The request to send now. A repeat after a time-out has the same sequence number. Nothing while a
+    // response may still come or no pool may be asked, see wakeAtMs(). `request` holds volume, plan, hosts
+    // and a new sequence number.
+    std::optional<QuotaRequest> nextRequest(const Need& need, QuotaRequest request, double nowMs);
+    // The request was sent to another host.
+    void onRequestSent(double nowMs, double responseWaitMs);
+    // Returns the time until which the leased units may be drawn; nothing where the response is a refusal or
+    // matches no request.
+    std::optional<double> onResponse(const QuotaResponse& response, double nowMs);
+    bool isAwaited(const QuotaResponse& response) const {
+        return response.seq != 0 && request_.seq == response.seq;
+    }
 
     double wakeAtMs(double nowMs) const;
-    // What the volume's whole bucket holds at most by what its pools last refused.
-    double mostLeft(const LimitParts& parts, int hosts, double nowMs) const;
+    // An upper bound of what the volume's whole bucket holds, from the last refusals of its pools.
+    double maxUnitsLeft(const LimitParts& parts, int hosts, double nowMs) const;
 
   private:
-    // A silence of zero: the pool answered last.
     struct Pool {
-        double askAgainAtMs = 0, silenceMs = 0;
-        Refusal refused;
+        double retryAtMs = 0;
+        double backoffMs = 0;  // 0: the pool responded last time
+        Refusal lastRefusal;
     };
     bool wanted_ = false;
-    QuotaAsk ask_;  // without an answer yet; a sequence of 0: none
+    QuotaRequest request_;  // in flight; a sequence number of 0: none
     int tries_ = 0;
-    double askedAtMs_ = 0, answerDueMs_ = 0;
-    std::array<Pool, kPools> pools_;
+    double requestedAtMs_ = 0, responseDueMs_ = 0;
+    std::array<Pool, kPoolsPerVolume> pools_;
 };
 
 }  // namespace spokewheel
--- a/src/policy/quota_pool.cpp
+++ b/src/policy/quota_pool.cpp
@@ -6,11 +6,11 @@
 namespace spokewheel {
 namespace {
 
-constexpr double kRetryLeastMs = 20, kRetryMostMs = 500;
-constexpr std::size_t kMostPools = 16384;
+constexpr double kMinRetryMs = 20, kMaxRetryMs = 500;
+constexpr std::size_t kMaxPools = 16384;
 
-// The 64-bit finalizer of MurmurHash3: volumes' numbers may be in a row.
-std::uint64_t mixed(std::uint64_t x) {
+// The 64-bit finalizer of MurmurHash3: volume numbers may be consecutive.
+std::uint64_t mixBits(std::uint64_t x) {
     x = (x ^ (x >> 33)) * 0xff51afd7ed558ccdULL;
     x = (x ^ (x >> 33)) * 0xc4ceb9fe1a85ec53ULL;
     return x ^ (x >> 33);
@@ -20,49 +20,51 @@
 
 int poolHost(std::int64_t volume, std::size_t pool, int hosts) {
     const auto count = static_cast<std::uint64_t>(hosts);
-    const auto first = mixed(static_cast<std::uint64_t>(volume)) % count;
+    const auto first = mixBits(static_cast<std::uint64_t>(volume)) % count;
     return static_cast<int>((first + pool) % count);
 }
 
 void QuotaPool::Pool::refill(double nowMs) {
-    const double filled = part.rate * (nowMs - filledAtMs) / 1000;
-    filledAtMs = nowMs;
-    while (!leases.empty() && leases.front().countedUntilMs <= nowMs) leases.pop_front();
-    double most = part.burst;
-    for (const auto& lease : leases) most -= lease.units;
-    level = std::min(std::max(0.0, most), level + filled);
+    const double refilled = part.rate * (nowMs - refilledAtMs) / 1000;
+    refilledAtMs = nowMs;
+    while (!leases.empty() && leases.front().heldUntilMs <= nowMs) leases.pop_front();
+    double room = part.burst;
+    for (const auto& lease : leases) room -= lease.units;
+    level = std::min(std::max(0.0, room), level + refilled);
 }
 
-QuotaPool::Answer QuotaPool::lease(std::int64_t volume, TokenBucket part, Asker asker, double least,
-                                   double most, double nowMs) {
+QuotaPool::Answer QuotaPool::lease(std::int64_t volume, TokenBucket part, RequestId request, double minUnits,
+                                   double maxUnits, double nowMs) {
     auto found = pools_.find(volume);
     if (found == pools_.end()) {
-        if (pools_.size() >= kMostPools) return {0, kRetryMostMs};
+        if (pools_.size() >= kMaxPools) return {0, kMaxRetryMs};
         found = pools_.emplace(volume, Pool{part, 0, startedAtMs_, {}}).first;
     }
     auto& pool = found->second;
     pool.part = part;
     pool.refill(nowMs);
     for (const auto& lease : pool.leases)
-        if (lease.asker.rank == asker.rank && lease.asker.seq == asker.seq) return {lease.units, 0};
-    if (pool.level < least) {
-        const double wait = part.rate > 0 ? 1000 * (least - pool.level) / part.rate : kRetryMostMs;
-        return {0, std::clamp(wait, kRetryLeastMs, kRetryMostMs)};
+        if (lease.request.rank == request.rank && lease.request.seq == request.seq) return {lease.units, 0};
+    if (pool.level < minUnits) {
+        const double wait = part.rate > 0 ? 1000 * (minUnits - pool.level) / part.rate : kMaxRetryMs;
+        return {0, std::clamp(wait, kMinRetryMs, kMaxRetryMs)};
     }
-    const double units = std::min(pool.level, most);
+    const double units = std::min(pool.level, maxUnits);
     pool.level -= units;
-    pool.leases.push_back({asker, nowMs + kQuotaCountedMs, units});
+    pool.leases.push_back({request, nowMs + kQuotaLeaseHoldMs, units});
     return {units, 0};
 }
 
-void QuotaPool::forgetFull(double nowMs) {
+void QuotaPool::removeFull(double nowMs) {
     for (auto pool = pools_.begin(); pool != pools_.end();) {
-        auto& one = pool->second;
-        one.refill(nowMs);
-        // One that was asked for sooner than it can have filled since the start is not as one that never was.
-        const bool asNew = one.part.rate > 0 && nowMs >= startedAtMs_ + 1000 * one.part.burst / one.part.rate;
-        const bool full = one.level >= one.part.burst;
-        pool = full && asNew ? pools_.erase(pool) : std::next(pool);
+        auto& state = pool->second;
+        state.refill(nowMs);
+        // A pool without state counts as empty at the start of the process: it equals a full one only once it
+        // has had the time to fill.
+        const bool sameAsNew =
+            state.part.rate > 0 && nowMs >= startedAtMs_ + 1000 * state.part.burst / state.part.rate;
+        const bool full = state.level >= state.part.burst;
+        pool = full && sameAsNew ? pools_.erase(pool) : std::next(pool);
     }
 }
 
--- a/src/policy/send_rules.cpp
+++ b/src/policy/send_rules.cpp
@@ -5,37 +5,39 @@
 namespace spokewheel {
 namespace {
 
-constexpr double kGiveUpPart = 0.48;  // of a request's time
+constexpr double kRefuseAtShare = 0.48;  // fraction of a request's time to live
 
 }  // namespace
 
-bool mayGoTo(const Held& held, const Node& node) {
-    if (held.request.shard >= 0 && node.shard != held.request.shard) return false;
-    if (!held.mayHaveRun || held.kind->effect != Effect::ByKey) return true;
-    if (held.kind->group == Group::Cell) return node.shard == held.boundShard;
-    return held.kind->group == Group::All || node.zone == held.boundZone;
+bool maySendTo(const PendingRequest& pending, const Node& node) {
+    if (pending.request.shard >= 0 && node.shard != pending.request.shard) return false;
+    if (!pending.mayHaveRun || pending.requestClass->effect != Effect::ByKey) return true;
+    if (pending.requestClass->group == Group::Cell) return node.shard == pending.boundShard;
+    return pending.requestClass->group == Group::All || node.zone == pending.boundZone;
 }
 
-bool forgottenByNodes(const Held& held, double nowMs) {
-    return held.mayHaveRun && held.kind->effect == Effect::ByKey &&
-           nowMs + kPauseMs >= held.mayRunAt + held.kind->keyRetentionMs;
+bool keyMayBeForgotten(const PendingRequest& pending, double nowMs) {
+    return pending.mayHaveRun && pending.requestClass->effect == Effect::ByKey &&
+           nowMs + kMaxPauseMs >= pending.mayHaveRunAt + pending.requestClass->keyRetentionMs;
 }
 
-bool mayRepeat(const Held& held, const Settings& settings, double nowMs) {
-    if (nowMs + 2 * settings.tickMs >= held.deadline) return false;
-    if (static_cast<int>(held.sent.size()) >= settings.maxAttempts) return false;
-    if (!held.mayHaveRun) return true;
-    if (held.kind->effect == Effect::Once) return false;
-    return !forgottenByNodes(held, nowMs + kRetryMs);
+bool mayRetry(const PendingRequest& pending, const Settings& settings, double nowMs) {
+    if (nowMs + 2 * settings.tickMs >= pending.deadline) return false;
+    if (static_cast<int>(pending.attempts.size()) >= settings.maxAttempts) return false;
+    if (!pending.mayHaveRun) return true;
+    if (pending.requestClass->effect == Effect::Once) return false;
+    return !keyMayBeForgotten(pending, nowMs + kRejectedRetryMs);
 }
 
-double giveUpAt(const Held& held) {
-    return std::max(held.aimAt, held.arrived + kGiveUpPart * (held.deadline - held.arrived));
+double refuseAt(const PendingRequest& pending) {
+    return std::max(pending.latencyTargetAt,
+                    pending.arrivedAt + kRefuseAtShare * (pending.deadline - pending.arrivedAt));
 }
 
-bool harmlessToRefuse(const Held& held) {
-    return held.kind->effect == Effect::Repeatable || (!held.mayHaveRun && held.open == 0) ||
-           (held.kind->effect == Effect::ByKey && held.kind->group == Group::All);
+bool safeToRefuse(const PendingRequest& pending) {
+    return pending.requestClass->effect == Effect::Repeatable ||
+           (!pending.mayHaveRun && pending.openAttempts == 0) ||
+           (pending.requestClass->effect == Effect::ByKey && pending.requestClass->group == Group::All);
 }
 
 }  // namespace spokewheel
--- a/src/policy/settings_check.hpp
+++ b/src/policy/settings_check.hpp
@@ -1,4 +1,5 @@
-// Refuses settings that contradict themselves, naming the one at fault.
+// Checks that settings are in range and do not contradict each other. Throws std::invalid_argument that names
+// the setting at fault.
 #pragma once
 
 #include <cstddef>
@@ -9,45 +10,47 @@
 
 namespace spokewheel {
 
-// The largest whole number up to which a double holds all.
-constexpr double kMostExact = 9007199254740992.0;
+// Up to this number a double holds every whole number exactly.
+constexpr double kMaxExactInteger = 9007199254740992.0;
 
-inline void checkPlan(const Plan& plan, std::size_t place) {
-    const auto check = [place](bool fine, const char* key) {
-        if (fine) return;
-        throw std::invalid_argument("setting 'plans': 'contracts." + std::to_string(place) + "." + key +
+inline void checkPlan(const Plan& plan, std::size_t index) {
+    const auto check = [index](bool valid, const char* key) {
+        if (valid) return;
+        throw std::invalid_argument("setting 'plans': 'contracts." + std::to_string(index) + "." + key +
                                     "' is out of range");
     };
-    const auto amount = [](double x) { return x >= 0 && x <= kMostExact; };
-    check(amount(plan.limit), "limit");
-    check(amount(plan.limitBurst), "limit-burst");
-    check(amount(plan.slack), "slack");
-    check(amount(plan.reservation), "reservation");
-    check(amount(plan.weight), "shares");
-    // A limit without a store could never be drawn from.
+    const auto isAmount = [](double value) { return value >= 0 && value <= kMaxExactInteger; };
+    check(isAmount(plan.limit), "limit");
+    check(isAmount(plan.limitBurst), "limit-burst");
+    check(isAmount(plan.slack), "slack");
+    check(isAmount(plan.reservation), "reservation");
+    check(isAmount(plan.weight), "shares");
+    // Nothing could be drawn from a limit without a burst.
     check(plan.limit <= 0 || plan.limitBurst > 0, "limit-burst");
 }
 
-inline void validate(const Settings& s) {
-    const auto check = [](bool fine, const char* setting) {
-        if (!fine) throw std::invalid_argument(std::string("setting '") + setting + "' is out of range");
+inline void validate(const Settings& settings) {
+    const auto check = [](bool valid, const char* setting) {
+        if (!valid) throw std::invalid_argument(std::string("setting '") + setting + "' is out of range");
     };
-    const auto share = [](double x) { return x >= 0 && x <= 1; };
-    const auto amount = [](double x) { return x >= 0 && x <= kMostExact; };
-    check(s.hosts >= 1 && s.rank >= 0 && s.rank < s.hosts, "hosts");
-    check(s.maxAttempts >= 1, "maxAttempts");
-    check(share(s.retryBudgetShare) && amount(s.retryBudgetFloor) && amount(s.retryBudgetSpanMs),
+    const auto isFraction = [](double value) { return value >= 0 && value <= 1; };
+    const auto isAmount = [](double value) { return value >= 0 && value <= kMaxExactInteger; };
+    check(settings.hosts >= 1 && settings.rank >= 0 && settings.rank < settings.hosts, "hosts");
+    check(settings.maxAttempts >= 1, "maxAttempts");
+    check(isFraction(settings.retryBudgetShare) && isAmount(settings.retryBudgetFloor) &&
+              isAmount(settings.retryBudgetSpanMs),
           "extraShare");
-    check(share(s.coldShare) && amount(s.coldUnits) && amount(s.coldMs) && amount(s.overloadSpanMs),
+    check(isFraction(settings.coldShare) && isAmount(settings.coldUnits) && isAmount(settings.coldMs) &&
+              isAmount(settings.overloadSpanMs),
           "coldShare");
-    check(share(s.fairWorth), "fairWorth");
-    check(share(s.spareWorth), "spareWorth");
-    check(amount(s.tickMs) && amount(s.meanUnits) && amount(s.maxUnits), "units");
-    for (const auto& c : s.classes)
-        check(amount(c.latencyTargetMs) && amount(c.deadlineMs) && amount(c.keyRetentionMs) &&
-                  share(c.lateWorth),
+    check(isFraction(settings.fairWorth), "fairWorth");
+    check(isFraction(settings.spareWorth), "spareWorth");
+    check(isAmount(settings.tickMs) && isAmount(settings.meanUnits) && isAmount(settings.maxUnits), "units");
+    for (const auto& requestClass : settings.classes)
+        check(isAmount(requestClass.latencyTargetMs) && isAmount(requestClass.deadlineMs) &&
+                  isAmount(requestClass.keyRetentionMs) && isFraction(requestClass.lateWorth),
               "classes");
-    for (std::size_t i = 0; i < s.plans.size(); ++i) checkPlan(s.plans[i], i);
+    for (std::size_t i = 0; i < settings.plans.size(); ++i) checkPlan(settings.plans[i], i);
 }
 
 }  // namespace spokewheel
--- a/src/policy/state.hpp
+++ b/src/policy/state.hpp
@@ -1,4 +1,5 @@
-// What a host keeps of nodes, volumes, requests and peers. Plain state: every decision is in policy.cpp.
+// State that the scheduler keeps of nodes, volumes, requests and peers. Data only: every decision is in
+// policy.cpp. Times are milliseconds on the host's clock, amounts are units.
 #pragma once
 
 #include <array>
@@ -16,17 +17,17 @@
 #include "peer_messages.hpp"
 #include "quota_client.hpp"
 #include "spokewheel/scheduler.hpp"
-#include "volume_dues.hpp"
+#include "volume_entitlement.hpp"
 
 namespace spokewheel {
 
-// Units by time, forgotten once older than the span asked for.
-struct UnitLog {
-    std::deque<std::pair<double, double>> entries;
-    double since(double from) {
+// Amounts with the time at which each was added. Summing drops the entries older than the window.
+struct SlidingSum {
+    std::deque<std::pair<double, double>> entries;  // time, amount
+    double sumSince(double from) {
         while (!entries.empty() && entries.front().first <= from) entries.pop_front();
         double sum = 0;
-        for (const auto& e : entries) sum += e.second;
+        for (const auto& entry : entries) sum += entry.second;
         return sum;
     }
 };
@@ -35,25 +36,28 @@
     std::string id, zone;
     int shard = -1;
     Lifecycle lifecycle = Lifecycle::Ready;
-    double coldFrom = -1e18, notBefore = 0, unansweredFrom = 1e18, lastSend = -1e18;
+    // `unansweredSince`: the time since which attempts are in flight without any answer.
+    double coldSince = -1e18, notBefore = 0, unansweredSince = 1e18, lastSendAt = -1e18;
     NodeWindow window;
-    bool suspect = false;
-    int inflight = 0, dropped = 0;
-    double unitsOut = 0, heat = 0, heatTold = 0, heatToldAt = -1e18;
-    double lot = 1, lotUntil = -1e18;  // drawn for a cold node, and for how long it counts
-    UnitLog coldSent, coldDone;
+    bool suspect = false;  // it dropped connections and may have restarted: treated as cold
+    int inflight = 0, droppedConnections = 0;
+    // Load: logarithm of the expected time in the node, as announced to the other hosts.
+    double unitsInFlight = 0, load = 0, announcedLoad = 0, loadAnnouncedAt = -1e18;
+    double randomDraw = 1, randomDrawUntil = -1e18;  // decides about trials while the node is cold
+    SlidingSum coldUnitsSent, coldUnitsServed;
     std::array<std::int64_t, 2> recentKeys = {-1, -1};
 };
 
-struct PeerView {
-    std::uint32_t incarnation = 0, previous = 0;
-    std::uint64_t sub = 0;  // the sender's subperiod of the last entry
-    double total = 0, r = 0, held = 0, heardAt = 0;
-    bool greet = true;  // it is owed word that this host shares the volume
+// What a peer last reported of one volume.
+struct PeerFigures {
+    std::uint32_t incarnation = 0, previousIncarnation = 0;
+    std::uint64_t subperiod = 0;  // of the last report, in this host's numbering
+    double totalSent = 0, sentUnits = 0, queuedUnits = 0, heardAt = 0;
+    bool reportDue = true;  // the peer has not been told yet that this host shares the volume
 };
 
 template <class T>
-const T* named(const std::vector<T>& list, const std::string& name) {
+const T* findByName(const std::vector<T>& list, const std::string& name) {
     for (const auto& one : list)
         if (one.name == name) return &one;
     return nullptr;
@@ -63,69 +67,79 @@
     std::int64_t id = 0;
     const Plan* plan = nullptr;
     int hosts = 1;
-    // The rebuilt store (D), this host's figures of the subperiod, and its share of the store.
-    double level = 0, filledAt = 0, credit = 0, r = 0, rLast = 0, held = 0, part = 1;
-    bool first = true, starved = false, busy = false;  // busy: told r or Q above zero last
-    bool wasShort = false;                             // in this subperiod
-    double noteShortFrom = 0;
-    int users = 0;
-    double total = 0, usedAt = 0, announceFrom = 0;
-    LimitShare share;
+    // `level`: the volume's token bucket over all hosts, rebuilt from the peers' reports (D of the credit
+    // algorithm). `sentUnits` (r) and `queuedUnits` (Q): this host's figures of the subperiod. `share`: this
+    // host's fraction of the bucket.
+    double level = 0, refilledAt = 0, credit = 0, sentUnits = 0, sentLastSubperiod = 0, queuedUnits = 0,
+           share = 1;
+    // `reportedBusy`: the last report had r or Q above zero.
+    bool firstSplit = true, needsCredit = false, reportedBusy = false;
+    bool wasShortOfLimit = false;  // in this subperiod
+    double nextShortageReportAt = 0;
+    int openRequests = 0;
+    double totalSent = 0, lastRequestAt = 0, announceAfter = 0;
+    LimitShare limitShare;
     QuotaClient quota;
-    std::map<int, PeerView> peers;
-    VolumeDues dues;
-    bool limited() const { return plan->limit > 0; }
-    LimitAccount note(LimitAccount::Moment moment) const {
-        LimitAccount note;
-        note.moment = moment;
-        note.volume = id;
-        note.hosts = hosts;
-        note.own = share.level();
-        note.leased = share.leased();
-        note.reserved = share.reserved();
-        note.level = level;
-        note.credit = credit - r;
-        note.sent = total;
-        return note;
+    std::map<int, PeerFigures> peers;  // by rank
+    VolumeEntitlement entitlement;
+    bool hasLimit() const { return plan->limit > 0; }
+    LimitAccount account(LimitAccount::Moment moment) const {
+        LimitAccount account;
+        account.moment = moment;
+        account.volume = id;
+        account.hosts = hosts;
+        account.own = limitShare.level();
+        account.leased = limitShare.leased();
+        account.reserved = limitShare.reserved();
+        account.level = level;
+        account.credit = credit - sentUnits;
+        account.sent = totalSent;
+        return account;
     }
 };
 
-struct Sent {
+// One attempt of a request; in `PendingRequest::attempts` by its number.
+struct SentAttempt {
     Node* node;
-    double at;
+    double sentAt;
     bool open;
-    bool cold;       // whether the cold budget holds it
-    int lease = -1;  // the keeper that granted it
+    bool countedAsCold;  // it is counted in the node's budget while cold
+    int grantedBy = -1;  // rank of the coordinator that permitted it; -1: this host did
 };
 
-struct Held {
+// A request without an answer, waiting here or with attempts in flight.
+struct PendingRequest {
     Request request;
-    const RequestClass* kind = nullptr;
+    const RequestClass* requestClass = nullptr;
     Volume* volume = nullptr;
     std::uint64_t seq = 0;
-    double arrived = 0, deadline = 0, aimAt = 0, notBefore = 0, mayRunAt = 0;
-    std::vector<Sent> sent;
-    int open = 0;
-    int boundShard = -1, goal = -1;  // goal: the shard it is asked for
-    // Asked of a keeper; and, at the keeper, whose it is and what was said of its due.
-    int keeper = -1, owner = -1;
-    std::uint64_t ownerSeq = 0;
+    double arrivedAt = 0, deadline = 0, latencyTargetAt = 0, notBefore = 0, mayHaveRunAt = 0;
+    std::vector<SentAttempt> attempts;
+    int openAttempts = 0;
+    // `boundShard`: of the node where it may have run. `targetShard`: the one that it is to be sent to.
+    int boundShard = -1, targetShard = -1;
+    // `coordinator`: rank of the host asked for a permit. On the coordinator itself: `origin` and `originSeq`
+    // are the host that asked and its number of the request; -1: a request of this host.
+    int coordinator = -1, origin = -1;
+    std::uint64_t originSeq = 0;
     const Plan* plan = nullptr;
-    double askedAt = 0, askDue = 0, full = 0, fair = 0;
-    bool acked = false;
+    // Parts of its units, 0 to 1, that the volume's reservation and its share by weight cover.
+    double permitRequestedAt = 0, permitDue = 0, reservedPart = 0, fairPart = 0;
+    bool permitAcked = false;
     std::string boundZone;
-    bool mayHaveRun = false, ended = false, drawn = false, begun = false, started = false;
-    bool ordered() const { return owner < 0 && kind->inOrder && request.key != -1; }
-    std::int64_t keyMark() const { return request.key & 0x3fff; }  // the bits of a key that hosts tell
+    bool mayHaveRun = false, ended = false, limitDrawn = false, begun = false, responseStarted = false;
+    bool isOrdered() const { return origin < 0 && requestClass->inOrder && request.key != -1; }
+    std::int64_t keyTag() const { return request.key & 0x3fff; }  // the bits of a key that hosts exchange
 };
 
-struct KeyTurn {
-    std::list<Held*> turn;
-    double restUntil = -1e18;
+// The requests of one key of a class that runs in order; the first may be sent once `blockedUntil` is past.
+struct KeyQueue {
+    std::list<PendingRequest*> requests;
+    double blockedUntil = -1e18;
 };
 
 struct Peer {
-    double deafUntil = -1e18;
+    double unresponsiveUntil = -1e18;
     PeerClock clock;
 };
 
--- a/tests/module/fleet_test.cpp
+++ b/tests/module/fleet_test.cpp
@@ -1,4 +1,5 @@
-// What many schedulers send together, each on its own: one clock, no messages between them or late ones.
+// What many schedulers send together while each decides on its own: one clock, and no messages between
+// them.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -13,15 +14,15 @@
 
 constexpr double kStart = 1e6;
 
-struct Sum {
-    double most = 0, all = 0;  // units in the fullest window of the fall time, and in the whole cold time
-    double worst = -1e18;      // by how many units a window went beyond N + 2 root N + 2
+struct Result {
+    double most = 0, all = 0;  // units in the fullest overload span, and in the whole cold time
+    double worst = -1e18;      // by how many requests a span exceeded N + 2 sqrt(N) + 2
 };
 
-// A shard's node comes back cold under the requests of all hosts. It does one after another, at a rate that
-// grows from the cold share to the whole of `rate` units a second; no message between hosts arrives.
-Sum coldNode(int hosts, bool peers, double offered, double rate) {
-    auto settings = plainSettings();
+// A shard's node restarts and is cold while all hosts have requests for it. It serves one after another, at
+// a rate that grows from the cold share to `rate` units a second. Messages between hosts do not arrive.
+Result coldNode(int hosts, bool peers, double offered, double rate) {
+    auto settings = testSettings();
     settings.hosts = hosts;
     settings.maySendToPeers = peers;
     settings.overloadSpanMs = 3000;
@@ -34,7 +35,7 @@
         fleet.back()->step(kStart, {list({node("n", 0)})});
     }
     for (auto& h : fleet) h->step(kStart + 10, {list({node("n", 0, Lifecycle::Ready, kStart + 10)})});
-    Sum sum;
+    Result result;
     std::deque<double> window;
     std::deque<std::pair<std::size_t, Attempt>> queue;
     std::vector<std::size_t> seen(fleet.size(), 0);
@@ -51,47 +52,48 @@
              done -= settings.meanUnits) {
             const auto [i, attempt] = queue.front();
             queue.pop_front();
-            fleet[i]->verdict(now, attempt, Outcome::Served, true, 1000 * settings.meanUnits / able);
+            fleet[i]->endAttempt(now, attempt, Outcome::Served, true, 1000 * settings.meanUnits / able);
         }
         for (std::size_t i = 0; i < fleet.size(); ++i) {
             fleet[i]->runTo(now);
             for (; seen[i] < fleet[i]->sent.size(); ++seen[i]) {
                 window.push_back(now);
-                sum.all += settings.meanUnits;
+                result.all += settings.meanUnits;
                 queue.emplace_back(i, fleet[i]->sent[seen[i]]);
             }
         }
         while (!window.empty() && window.front() <= now - settings.overloadSpanMs) window.pop_front();
-        sum.most = std::max(sum.most, settings.meanUnits * static_cast<double>(window.size()));
+        result.most = std::max(result.most, settings.meanUnits * static_cast<double>(window.size()));
         const double n = settings.overloadFactor * able * settings.overloadSpanMs / 1000 / settings.meanUnits;
-        sum.worst = std::max(sum.worst, static_cast<double>(window.size()) - (n + 2 * std::sqrt(n) + 2));
+        result.worst =
+            std::max(result.worst, static_cast<double>(window.size()) - (n + 2 * std::sqrt(n) + 2));
     }
-    return sum;
+    return result;
 }
 
-// Guards against a cold node that falls under the sum of many hosts, of which each sees little; and against
-// one that nobody dares to use, because each host's part of what it bears is under one request.
+// Guards against overloading a cold node by the result of many hosts, each of which sees little, and against
+// a node that no host sends to because its part of the budget is less than one request.
 TEST(Fleet, AColdNodeIsUsedByManyHostsAndDoesNotFall) {
     for (const int hosts : {1, 3, 24, 30, 100, 300})
         for (const bool peers : {false, true}) {
-            // At twice what it does when warm, and with work that waits at each host all the time.
+            // Twice its capacity when warm; and so much that each host always has waiting requests.
             for (const double offered : {40.0, 40.0 + 6 * hosts}) {
-                const auto sum = coldNode(hosts, peers, offered, 20);
-                EXPECT_LE(sum.worst, 0) << hosts << " hosts, " << offered << (peers ? " with peers" : "");
+                const auto result = coldNode(hosts, peers, offered, 20);
+                EXPECT_LE(result.worst, 0) << hosts << " hosts, " << offered << (peers ? " with peers" : "");
                 if (!peers) {
-                    EXPECT_GT(sum.all, 60) << hosts << " hosts, " << offered;
+                    EXPECT_GT(result.all, 60) << hosts << " hosts, " << offered;
                 }
             }
         }
 }
 
-// What a request and a change of the list cost this host must not grow with the list: the least of several
-// tries, for the machine may be busy with others.
+// The cost of a request and of a list change must not grow with the list. Takes the least of several runs,
+// since the machine may be busy.
 double costMs(int nodes) {
     const auto entry = [](int i) { return node("n" + std::to_string(i), i); };
     double least = 1e18;
     for (int round = 0; round < 5; ++round) {
-        Host host(plainSettings());
+        Host host(testSettings());
         std::vector<NodeEntry> all;
         for (int i = 0; i < nodes; ++i) all.push_back(entry(i));
         host.step(kStart, {list(all)});
@@ -99,7 +101,7 @@
         for (int i = 0; i < 300; ++i) {
             const double now = kStart + 1 + 10 * i;
             host.step(now, {request("r" + std::to_string(i), "read", i % nodes)});
-            host.verdict(now + 5, host.sent.back(), Outcome::Served);
+            host.endAttempt(now + 5, host.sent.back(), Outcome::Served);
             host.step(now + 6, {list({entry(i % nodes)}, ListForm::Delta)});
         }
         const std::chrono::duration<double, std::milli> took = std::chrono::steady_clock::now() - from;
