--- a/tests/module/limit_lives_test.cpp
+++ b/tests/module/limit_lives_test.cpp
@@ -1,7 +1,7 @@
-// A volume at its limit over any series of lives: hosts that are restarted, volumes that move, sets that grow
-// and shrink, messages lost, late and repeated. What all hosts first-send, counted as it comes to the nodes,
-// is held against the volume's store at every instant; what is served against the same play without the
-// trouble.
+// A volume at its limit while hosts restart, its requests move between hosts, its number of hosts changes,
+// and messages are lost, late and duplicated. What all hosts send, without repeats, is compared at every
+// instant with the volume's token bucket as it reaches the nodes; what is served is compared with the same
+// scenario without the trouble.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -22,124 +22,125 @@
 constexpr std::int64_t kVolume = 0x3b4d60021;
 
 enum class Peers { Up, Lossy, Cut, None };
-enum class Struck { None, One, Half, All };
+enum class Restarted { None, One, Half, All };
 
-struct Play {
+struct Scenario {
     const char* name;
-    int hosts = 1;  // of the volume, of four schedulers
+    int hosts = 1;  // of the volume, among the schedulers
     double burst = 40;
     Peers peers = Peers::Up;
-    Struck struck = Struck::None;
-    double lifeMs = 1500, downMs = 300;  // of each life, and between two
-    double moveEveryMs = 0;              // the volume's requests come through the next scheduler
-    bool grows = false;                  // ... or through more of them, and fewer again
-    double dialMs = 0;                   // an attempt comes to its node up to so much later
+    Restarted restarted = Restarted::None;
+    double lifeMs = 1500, downMs = 300;  // of each process; between two of them
+    double moveEveryMs = 0;              // after which its requests come through the next scheduler
+    bool grows = false;                  // ... or alternately through all schedulers and `hosts` of them
+    double dialMs = 0;                   // the longest delay of an attempt on its way to the node
     int mostUnits = 1;
     int schedulers = 4;
 };
-void PrintTo(const Play& play, std::ostream* out) { *out << play.name; }
+void PrintTo(const Scenario& scenario, std::ostream* out) { *out << scenario.name; }
 
-struct Sum {
-    double lowest = 1e18, served = 0, awayMs = 0;  // away: of all hosts of the volume together
+struct Result {
+    double lowestLevel = 1e18, served = 0, downMs = 0;  // downMs: of all hosts of the volume together
 };
 
-class LivesSimulation {
+class RestartSimulation {
   public:
-    LivesSimulation(const Play& play, unsigned seed) : play_(play), random_(seed) {
+    RestartSimulation(const Scenario& scenario, unsigned seed) : scenario_(scenario), random_(seed) {
         plan_.name = "limited";
         plan_.limit = 20;
-        plan_.limitBurst = play.burst;
-        plan_.slack = std::max(0.1 * play.burst, static_cast<double>(play.mostUnits));
+        plan_.limitBurst = scenario.burst;
+        plan_.slack = std::max(0.1 * scenario.burst, static_cast<double>(scenario.mostUnits));
         plan_.nominal = plan_.weight = 1;
-        store_ = 0;  // what was drawn before these lives is as much as could be
-        for (int i = 0; i < play.schedulers; ++i) {
+        level_ = 0;  // earlier processes may have drawn everything
+        for (int i = 0; i < scenario.schedulers; ++i) {
             hosts_.emplace_back();
             start(hosts_.back(), i);
         }
     }
-    Sum run(double seconds) {
+    Result run(double seconds) {
         const double end = kStart + 1000 * seconds;
-        double nextMove = kStart + play_.moveEveryMs;
+        double nextMove = kStart + scenario_.moveEveryMs;
         for (now_ = kStart; now_ < end; now_ += kTickMs) {
-            if (play_.moveEveryMs > 0 && now_ >= nextMove) {
-                nextMove += play_.moveEveryMs;
+            if (scenario_.moveEveryMs > 0 && now_ >= nextMove) {
+                nextMove += scenario_.moveEveryMs;
                 move();
             }
-            strike();
-            for (std::size_t i = 0; i < hosts_.size(); ++i) turn(hosts_[i], static_cast<int>(i));
-            arrive();
+            restartHosts();
+            for (std::size_t i = 0; i < hosts_.size(); ++i) stepHost(hosts_[i], static_cast<int>(i));
+            deliverAttempts();
         }
-        return sum_;
+        return result_;
     }
 
   private:
     static constexpr double kTickMs = 4;
-    static constexpr int kClients = 10;  // at each host of the volume
-    struct Mail {
+    static constexpr int kClients = 10;  // open requests at each host of the volume
+    struct Delivery {
         double at;
         int from;
         std::string bytes;
     };
-    struct Machine {
+    struct HostState {
         std::unique_ptr<Host> host;
-        std::vector<Mail> mail;
+        std::vector<Delivery> inbox;
         std::set<std::string> open;
         std::size_t seen = 0;
-        double upFrom = 0, strikeAt = 0, askAgainAt = 0;
+        double upAt = 0, restartAt = 0, nextRequestsAt = 0;
         int life = 0;
         bool listed = false;
     };
-    struct OnItsWay {
+    struct InFlight {
         double at;
         int host, life;
         Attempt attempt;
         double units;
     };
     bool chance(double p) { return std::uniform_real_distribution<>(0, 1)(random_) < p; }
-    double upTo(double most) { return std::uniform_real_distribution<>(0, most)(random_); }
+    double randomUpTo(double most) { return std::uniform_real_distribution<>(0, most)(random_); }
 
     Settings settingsOf(int rank) const {
-        auto s = plainSettings();
-        s.hosts = play_.schedulers;
+        auto s = testSettings();
+        s.hosts = scenario_.schedulers;
         s.rank = rank;
-        s.maxUnits = play_.mostUnits;
-        s.maySendToPeers = play_.peers != Peers::None;
+        s.maxUnits = scenario_.mostUnits;
+        s.maySendToPeers = scenario_.peers != Peers::None;
         s.reportsAttemptBegun = true;
         s.plans[1] = plan_;
         return s;
     }
-    void start(Machine& m, int rank) {
+    void start(HostState& m, int rank) {
         m.host = std::make_unique<Host>(settingsOf(rank), static_cast<unsigned>(random_()));
         m.seen = 0;
         m.open.clear();
         m.listed = false;
         ++m.life;
-        m.strikeAt = std::max(now_, kStart) + play_.lifeMs;
+        m.restartAt = std::max(now_, kStart) + scenario_.lifeMs;
     }
-    bool ofVolume(int rank) const {
-        return (rank - first_ + play_.schedulers) % play_.schedulers < hostsNow_;
+    bool servesVolume(int rank) const {
+        return (rank - firstHost_ + scenario_.schedulers) % scenario_.schedulers < volumeHosts_;
     }
     void move() {
-        if (play_.grows) hostsNow_ = hostsNow_ == play_.hosts ? play_.schedulers : play_.hosts;
-        else first_ = (first_ + 1) % play_.schedulers;
+        if (scenario_.grows)
+            volumeHosts_ = volumeHosts_ == scenario_.hosts ? scenario_.schedulers : scenario_.hosts;
+        else firstHost_ = (firstHost_ + 1) % scenario_.schedulers;
     }
-    void strike() {
-        if (play_.struck == Struck::None) return;
-        const int many = play_.struck == Struck::One    ? 1
-                         : play_.struck == Struck::Half ? play_.schedulers / 2
-                                                        : play_.schedulers;
-        for (int i = 0; i < many; ++i) {
+    void restartHosts() {
+        if (scenario_.restarted == Restarted::None) return;
+        const int hostCount = scenario_.restarted == Restarted::One    ? 1
+                              : scenario_.restarted == Restarted::Half ? scenario_.schedulers / 2
+                                                                       : scenario_.schedulers;
+        for (int i = 0; i < hostCount; ++i) {
             auto& m = hosts_[static_cast<std::size_t>(i)];
-            if (now_ < m.strikeAt) continue;
+            if (now_ < m.restartAt) continue;
             start(m, i);
-            m.upFrom = now_ + play_.downMs;
-            m.strikeAt = m.upFrom + play_.lifeMs;
+            m.upAt = now_ + scenario_.downMs;
+            m.restartAt = m.upAt + scenario_.lifeMs;
         }
     }
-    void turn(Machine& m, int rank) {
-        if (now_ < m.upFrom) {
-            m.mail.clear();
-            if (ofVolume(rank)) sum_.awayMs += kTickMs;
+    void stepHost(HostState& m, int rank) {
+        if (now_ < m.upAt) {
+            m.inbox.clear();
+            if (servesVolume(rank)) result_.downMs += kTickMs;
             return;
         }
         std::vector<Event> events;
@@ -150,185 +151,189 @@
         }
         m.listed = true;
         receive(m, events);
-        ask(m, rank, events);
+        addRequests(m, rank, events);
         if (events.empty()) m.host->runTo(now_);
         else m.host->step(now_, events);
         m.host->runTo(now_);
         send(m, rank);
         close(m);
-        post(m, rank);
+        sendMessages(m, rank);
     }
-    void receive(Machine& m, std::vector<Event>& events) {
-        for (auto at = m.mail.begin(); at != m.mail.end();) {
+    void receive(HostState& m, std::vector<Event>& events) {
+        for (auto at = m.inbox.begin(); at != m.inbox.end();) {
             if (at->at > now_) {
                 ++at;
                 continue;
             }
             events.push_back(PeerMessage{at->from, at->bytes});
-            at = m.mail.erase(at);
+            at = m.inbox.erase(at);
         }
     }
-    void ask(Machine& m, int rank, std::vector<Event>& events) {
-        if (!ofVolume(rank) || now_ < m.askAgainAt) return;
+    void addRequests(HostState& m, int rank, std::vector<Event>& events) {
+        if (!servesVolume(rank) || now_ < m.nextRequestsAt) return;
         while (m.open.size() < kClients) {
             auto r = request("r" + std::to_string(++nextId_), "read", -1,
-                             1 + static_cast<double>(random_() % static_cast<unsigned>(play_.mostUnits)));
+                             1 + static_cast<double>(random_() % static_cast<unsigned>(scenario_.mostUnits)));
             r.plan = "limited";
             r.volume = kVolume;
-            r.hosts = hostsNow_;
+            r.hosts = volumeHosts_;
             units_[r.id] = r.units;
             m.open.insert(r.id);
             events.push_back(r);
         }
-        m.askAgainAt = now_ + 20;
+        m.nextRequestsAt = now_ + 20;
     }
-    void send(Machine& m, int rank) {
+    void send(HostState& m, int rank) {
         for (; m.seen < m.host->sent.size(); ++m.seen) {
             const auto attempt = m.host->sent[m.seen];
-            const double late = play_.dialMs > 0 && chance(0.3) ? upTo(play_.dialMs) : 0;
-            way_.push_back({now_ + late, rank, m.life, attempt, units_[attempt.id]});
+            const double late = scenario_.dialMs > 0 && chance(0.3) ? randomUpTo(scenario_.dialMs) : 0;
+            inFlight_.push_back({now_ + late, rank, m.life, attempt, units_[attempt.id]});
         }
     }
-    // Attempts come to their nodes; those of a process that ended meanwhile were never written.
-    void arrive() {
-        std::vector<OnItsWay> later;
-        for (const auto& one : way_) {
+    // Attempts reach their nodes; those of a process that ended meanwhile were never written.
+    void deliverAttempts() {
+        std::vector<InFlight> later;
+        for (const auto& one : inFlight_) {
             if (one.at > now_) {
                 later.push_back(one);
                 continue;
             }
             auto& m = hosts_[static_cast<std::size_t>(one.host)];
             if (m.life != one.life) continue;
-            if (!m.host->mayBegin(now_, one.attempt.id, m.host->tries[one.attempt.id] - 1)) {
-                m.host->verdict(now_, one.attempt, Outcome::NotSent);
+            if (!m.host->mayBegin(now_, one.attempt.id, m.host->attemptCounts[one.attempt.id] - 1)) {
+                m.host->endAttempt(now_, one.attempt, Outcome::NotSent);
                 continue;
             }
             m.host->step(now_, {AttemptBegun{one.attempt.id}});
             if (drawn_.insert(one.attempt.id).second) {
-                store_ = std::min(plan_.limitBurst, store_ + plan_.limit * (now_ - filledAt_) / 1000);
-                filledAt_ = now_;
-                store_ -= one.units;
-                sum_.lowest = std::min(sum_.lowest, store_ + plan_.slack);
-                sum_.served += one.units;
+                level_ = std::min(plan_.limitBurst, level_ + plan_.limit * (now_ - refilledAt_) / 1000);
+                refilledAt_ = now_;
+                level_ -= one.units;
+                result_.lowestLevel = std::min(result_.lowestLevel, level_ + plan_.slack);
+                result_.served += one.units;
             }
-            m.host->verdict(now_, one.attempt, Outcome::Served);
+            m.host->endAttempt(now_, one.attempt, Outcome::Served);
             m.open.erase(one.attempt.id);
         }
-        way_.swap(later);
+        inFlight_.swap(later);
     }
-    void close(Machine& m) {
+    void close(HostState& m) {
         for (auto id = m.open.begin(); id != m.open.end();)
             id = m.host->refused.count(*id) || m.host->failed.count(*id) ? m.open.erase(id) : std::next(id);
     }
-    void post(Machine& m, int rank) {
-        for (const auto& told : std::exchange(m.host->told, {}))
-            for (int to = 0; to < play_.schedulers; ++to) {
+    void sendMessages(HostState& m, int rank) {
+        for (const auto& told : std::exchange(m.host->outgoing, {}))
+            for (int to = 0; to < scenario_.schedulers; ++to) {
                 if (to == rank || (told.to >= 0 && told.to != to)) continue;
-                if (play_.peers == Peers::Cut && to % 2 != rank % 2) continue;
-                auto& box = hosts_[static_cast<std::size_t>(to)].mail;
-                if (play_.peers != Peers::Lossy) {
-                    box.push_back({now_ + 1 + upTo(10), rank, told.bytes});
+                if (scenario_.peers == Peers::Cut && to % 2 != rank % 2) continue;
+                auto& box = hosts_[static_cast<std::size_t>(to)].inbox;
+                if (scenario_.peers != Peers::Lossy) {
+                    box.push_back({now_ + 1 + randomUpTo(10), rank, told.bytes});
                     continue;
                 }
-                if (!chance(0.3)) box.push_back({now_ + 1 + upTo(chance(0.2) ? 3000 : 30), rank, told.bytes});
-                if (chance(0.2)) box.push_back({now_ + 1 + upTo(2000), rank, told.bytes});
+                if (!chance(0.3))
+                    box.push_back({now_ + 1 + randomUpTo(chance(0.2) ? 3000 : 30), rank, told.bytes});
+                if (chance(0.2)) box.push_back({now_ + 1 + randomUpTo(2000), rank, told.bytes});
             }
     }
 
-    Play play_;
+    Scenario scenario_;
     std::mt19937 random_;
     Plan plan_;
-    std::vector<Machine> hosts_;
-    std::vector<OnItsWay> way_;
+    std::vector<HostState> hosts_;
+    std::vector<InFlight> inFlight_;
     std::map<std::string, double> units_;
     std::set<std::string> drawn_;
-    double now_ = 0, store_ = 0, filledAt_ = kStart;
-    int first_ = 0, hostsNow_ = play_.hosts, nextId_ = 0;
-    Sum sum_;
+    double now_ = 0, level_ = 0, refilledAt_ = kStart;
+    int firstHost_ = 0, volumeHosts_ = scenario_.hosts, nextId_ = 0;
+    Result result_;
 };
 
-class LimitLives : public ::testing::TestWithParam<Play> {
+class LimitLives : public ::testing::TestWithParam<Scenario> {
   protected:
     static constexpr double kSeconds = 24;
-    // The slack grows by what the limit allows in 150 ms, for what is on its way.
+    // The slack is extended by what the limit allows in 150 ms, for attempts on their way.
     static constexpr double kGrowth = 20 * 0.15;
 };
 
 TEST_P(LimitLives, NeverPassTheStoreAndServeWhatTheLimitAllows) {
-    const auto& play = GetParam();
-    auto calm = play;
-    calm.struck = Struck::None;
+    const auto& scenario = GetParam();
+    auto calm = scenario;
+    calm.restarted = Restarted::None;
     calm.moveEveryMs = 0;
-    const char* many = std::getenv("SPOKEWHEEL_SEEDS");  // more of them by hand
-    for (unsigned seed = 1; seed <= (many ? static_cast<unsigned>(std::atoi(many)) : 3u); ++seed) {
-        const auto sum = LivesSimulation(play, seed).run(kSeconds);
-        EXPECT_GE(sum.lowest, -kGrowth) << "seed " << seed;
+    const char* seedCount = std::getenv("SPOKEWHEEL_SEEDS");  // set by hand for more seeds
+    for (unsigned seed = 1; seed <= (seedCount ? static_cast<unsigned>(std::atoi(seedCount)) : 3u); ++seed) {
+        const auto result = RestartSimulation(scenario, seed).run(kSeconds);
+        EXPECT_GE(result.lowestLevel, -kGrowth) << "seed " << seed;
 
-        const auto without = LivesSimulation(calm, seed).run(kSeconds);
-        const double up = 1 - sum.awayMs / (1000 * kSeconds * play.hosts);
-        const double least = play.struck == Struck::None ? 0.9 : 0.75;
-        EXPECT_GE(sum.served, least * up * without.served) << "seed " << seed;
+        const auto without = RestartSimulation(calm, seed).run(kSeconds);
+        const double up = 1 - result.downMs / (1000 * kSeconds * scenario.hosts);
+        const double least = scenario.restarted == Restarted::None ? 0.9 : 0.75;
+        EXPECT_GE(result.served, least * up * without.served) << "seed " << seed;
     }
 }
 
-std::vector<Play> plays() {
-    std::vector<Play> out;
-    Play play{"KilledOneHost"};
-    play.struck = Struck::One;
-    out.push_back(play);
-    play.name = "KilledAtOnceAgain", play.lifeMs = 700, play.downMs = 50;
-    out.push_back(play);
-    play.name = "KilledAndLongAway", play.lifeMs = 2000, play.downMs = 5000;
-    out.push_back(play);
-    play = {"KilledOfTwo", 2, 100};
-    play.struck = Struck::One;
-    out.push_back(play);
-    play = {"HalfKilledOfFour", 4, 40};
-    play.struck = Struck::Half;
-    out.push_back(play);
-    play = {"AllKilledLargeBurst", 4, 400};
-    play.struck = Struck::All;
-    out.push_back(play);
-    play = {"AllKilledOfThreeLargeRequests", 3, 72};
-    play.struck = Struck::All, play.mostUnits = 6, play.lifeMs = 3000;
-    out.push_back(play);
+std::vector<Scenario> scenarios() {
+    std::vector<Scenario> out;
+    Scenario scenario{"KilledOneHost"};
+    scenario.restarted = Restarted::One;
+    out.push_back(scenario);
+    scenario.name = "KilledAtOnceAgain", scenario.lifeMs = 700, scenario.downMs = 50;
+    out.push_back(scenario);
+    scenario.name = "KilledAndLongAway", scenario.lifeMs = 2000, scenario.downMs = 5000;
+    out.push_back(scenario);
+    scenario = {"KilledOfTwo", 2, 100};
+    scenario.restarted = Restarted::One;
+    out.push_back(scenario);
+    scenario = {"HalfKilledOfFour", 4, 40};
+    scenario.restarted = Restarted::Half;
+    out.push_back(scenario);
+    scenario = {"AllKilledLargeBurst", 4, 400};
+    scenario.restarted = Restarted::All;
+    out.push_back(scenario);
+    scenario = {"AllKilledOfThreeLargeRequests", 3, 72};
+    scenario.restarted = Restarted::All, scenario.mostUnits = 6, scenario.lifeMs = 3000;
+    out.push_back(scenario);
     for (const auto peers : {Peers::Lossy, Peers::Cut, Peers::None}) {
         const bool lossy = peers == Peers::Lossy, cut = peers == Peers::Cut;
-        play = {lossy ? "KilledLossy" : cut ? "KilledCut" : "KilledNoPeers", 3, 60, peers, Struck::One};
-        out.push_back(play);
-        play = {lossy ? "AllKilledLossy"
-                : cut ? "AllKilledCut"
-                      : "AllKilledNoPeers",
-                4, 80, peers, Struck::All};
-        out.push_back(play);
+        scenario = {lossy ? "KilledLossy"
+                    : cut ? "KilledCut"
+                          : "KilledNoPeers",
+                    3, 60, peers, Restarted::One};
+        out.push_back(scenario);
+        scenario = {lossy ? "AllKilledLossy"
+                    : cut ? "AllKilledCut"
+                          : "AllKilledNoPeers",
+                    4, 80, peers, Restarted::All};
+        out.push_back(scenario);
     }
-    play = {"Moves"};
-    play.moveEveryMs = 4000;
-    out.push_back(play);
-    play = {"MovesOften", 1, 400};
-    play.moveEveryMs = 700;
-    out.push_back(play);
-    play = {"MovesLossy", 1, 40, Peers::Lossy};
-    play.moveEveryMs = 4000;
-    out.push_back(play);
-    play = {"MovesOfTwo", 2, 80};
-    play.moveEveryMs = 3000;
-    out.push_back(play);
-    play = {"GrowsAndShrinks", 1, 40};
-    play.moveEveryMs = 3000, play.grows = true;
-    out.push_back(play);
-    play = {"GrowsFromTwoLargeBurst", 2, 200};
-    play.moveEveryMs = 5000, play.grows = true;
-    out.push_back(play);
-    play = {"LateDials", 2, 40};
-    play.dialMs = 1000;
-    out.push_back(play);
-    play = {"LateDialsKilled", 3, 60};
-    play.dialMs = 1000, play.struck = Struck::One;
-    out.push_back(play);
+    scenario = {"Moves"};
+    scenario.moveEveryMs = 4000;
+    out.push_back(scenario);
+    scenario = {"MovesOften", 1, 400};
+    scenario.moveEveryMs = 700;
+    out.push_back(scenario);
+    scenario = {"MovesLossy", 1, 40, Peers::Lossy};
+    scenario.moveEveryMs = 4000;
+    out.push_back(scenario);
+    scenario = {"MovesOfTwo", 2, 80};
+    scenario.moveEveryMs = 3000;
+    out.push_back(scenario);
+    scenario = {"GrowsAndShrinks", 1, 40};
+    scenario.moveEveryMs = 3000, scenario.grows = true;
+    out.push_back(scenario);
+    scenario = {"GrowsFromTwoLargeBurst", 2, 200};
+    scenario.moveEveryMs = 5000, scenario.grows = true;
+    out.push_back(scenario);
+    scenario = {"LateDials", 2, 40};
+    scenario.dialMs = 1000;
+    out.push_back(scenario);
+    scenario = {"LateDialsKilled", 3, 60};
+    scenario.dialMs = 1000, scenario.restarted = Restarted::One;
+    out.push_back(scenario);
     return out;
 }
-INSTANTIATE_TEST_SUITE_P(Plays, LimitLives, ::testing::ValuesIn(plays()));
+INSTANTIATE_TEST_SUITE_P(Plays, LimitLives, ::testing::ValuesIn(scenarios()));
 
 }  // namespace
 }  // namespace spokewheel::testing
--- a/tests/module/support.hpp
+++ b/tests/module/support.hpp
@@ -1,4 +1,4 @@
-// A host under test: feeds events at a clock, keeps what came back, and fires the reminders it asked for.
+// A scheduler under test: feeds it events, records its actions, and fires the timers that it sets.
 #pragma once
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 namespace spokewheel::testing {
 
-inline Settings plainSettings() {
+inline Settings testSettings() {
     Settings s;
     s.hosts = 1;
     s.maxAttempts = 3;
@@ -93,41 +93,42 @@
             if (const auto* a = std::get_if<Attempt>(&action)) {
                 sent.push_back(*a);
                 sentAt.push_back(now);
-                ++tries[a->id];
+                ++attemptCounts[a->id];
             } else if (const auto* r = std::get_if<Refuse>(&action)) {
                 refused[r->id] = now;
-                holdOff[r->id] = r->retryAfterMs;
+                retryAfterMs[r->id] = r->retryAfterMs;
             } else if (const auto* f = std::get_if<Fail>(&action)) {
                 failed[f->id] = now;
             } else if (const auto* t = std::get_if<SendToPeers>(&action)) {
-                told.push_back(*t);
-            } else if (const auto* w = std::get_if<SetTimer>(&action)) {
-                due_.push_back(now + w->afterMs);
+                outgoing.push_back(*t);
+            } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
+                timers_.push_back(now + timer->afterMs);
             } else if (std::holds_alternative<Subscribe>(action)) {
-                asked.push_back(now);
+                subscribedAt.push_back(now);
             }
         }
         return actions;
     }
-    // Fires every reminder up to `until`.
+    // Fires all timers up to `until`.
     void runTo(double until) {
         for (;;) {
-            const auto next = std::min_element(due_.begin(), due_.end());
-            if (next == due_.end() || *next > until) return;
+            const auto next = std::min_element(timers_.begin(), timers_.end());
+            if (next == timers_.end() || *next > until) return;
             const double at = *next;
-            due_.erase(next);
+            timers_.erase(next);
             step(at, {Wake{}});
         }
     }
-    void verdict(double now, const Attempt& a, Outcome outcome, bool ended = false, double took = 20) {
-        AttemptEnded v;
-        v.id = a.id;
-        v.node = a.node;
-        v.outcome = outcome;
-        v.attempt = tries[a.id] - 1;
-        v.tookMs = took;
-        v.requestEnded = ended || outcome == Outcome::Served;
-        step(now, {v});
+    void endAttempt(double now, const Attempt& a, Outcome outcome, bool requestEnded = false,
+                    double tookMs = 20) {
+        AttemptEnded result;
+        result.id = a.id;
+        result.node = a.node;
+        result.outcome = outcome;
+        result.attempt = attemptCounts[a.id] - 1;
+        result.tookMs = tookMs;
+        result.requestEnded = requestEnded || outcome == Outcome::Served;
+        step(now, {result});
     }
 
     bool mayBegin(double now, const std::string& id, int attempt) const {
@@ -137,15 +138,15 @@
     std::uint64_t unreadableMessages() const { return scheduler_.unreadableMessages(); }
 
     std::vector<Attempt> sent;
-    std::vector<double> sentAt, asked;
-    std::map<std::string, int> tries;
+    std::vector<double> sentAt, subscribedAt;
+    std::map<std::string, int> attemptCounts;
     std::map<std::string, double> refused, failed;
-    std::map<std::string, double> holdOff;  // of what was refused
-    std::vector<SendToPeers> told;
+    std::map<std::string, double> retryAfterMs;  // of refused requests
+    std::vector<SendToPeers> outgoing;
 
   private:
     Scheduler scheduler_;
-    std::vector<double> due_;
+    std::vector<double> timers_;
 };
 
 }  // namespace spokewheel::testing
