--- a/bench/lists.cpp
+++ b/bench/lists.cpp
@@ -25,8 +25,8 @@
     wire::rsync::Options options;
     options.recurse = true;
     wire::rsync::Filter filter(wire::rsync::Filter::Side::Sender);
-    fronts::rsync::ListBuilder builder(known, volume, options, {fronts::rsync::modulePath(volume, "maps/")},
-                                       filter, 1000000);
+    fronts::rsync::ListBuilder builder(known, volume, options,
+                                       {fronts::rsync::parseModulePath(volume, "maps/")}, filter, 1000000);
     Took out;
     for (bool done = false; !done;) {
         const auto from = Clock::now();
@@ -54,7 +54,7 @@
         v.id = std::to_string(i);
         v.version = 1;
         v.size = 1000;
-        known.learn("maps", std::move(v));
+        known.addVersion("maps", std::move(v));
     }
     std::vector<double> longest[2], sum[2];
     bool same = true;
