--- a/src/policy/peer_messages.cpp
+++ b/src/policy/peer_messages.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr std::size_t kMaxMessageBytes = 256;  // as a datagram between peers may carry
-constexpr unsigned char kCreditReport = 2, kPermits = 3, kIntroductions = 4,
-                        kQuota = 7;  // 5 and 6: wire/peer/membership.hpp
-constexpr double kTimeStepMs = 8, kAgeStepMs = 100, kPartSteps = 15,
-                 kUnitSteps = 10;  // resolutions of the encoding
+// First byte of a message; 5 and 6 are those of wire/peer/membership.hpp.
+constexpr unsigned char kCreditReport = 2, kPermits = 3, kIntroductions = 4, kQuota = 7;
+// Resolutions of the encoding: milliseconds of a step, and steps of a whole or a unit.
+constexpr double kTimeStepMs = 8, kAgeStepMs = 100, kPartSteps = 15, kUnitSteps = 10;
 constexpr unsigned char kQuotaRequest = 1, kQuotaResponse = 2;
 constexpr int kMaxHosts = 100000;
 constexpr std::uint64_t kMaxFigure = 10000000;  // of all but volume numbers and totals
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -28,8 +28,8 @@
 constexpr double kInitialPeerWaitMs = 50, kMaxPeerWaitMs = kSubperiodMs / 2;
 // A request is expected to finish after kFinishEstimateFactor of its usual time in the node.
 constexpr double kFinishEstimateFactor = 0.5, kFairRateSmoothing = 0.3;
-constexpr double kRecentKeyGain =
-    1.6;  // a node repeats a request that it just served with about half the work
+// Raises the value of a request whose key the node just served: a repeat costs it about half the work.
+constexpr double kRecentKeyGain = 1.6;
 // Between attempts at a node that may have restarted, and between trials at a silent one.
 constexpr double kSuspectRetryMs = 300, kTrialIntervalMs = 500;
 // Subscribing to the node list: time-out, delay after a failure, and its jitter as a multiple of the delay.
@@ -621,8 +621,8 @@
         return !isCold(node) && node.inflight >= std::floor(node.window.size());
     }
     void dispatch() {
-        std::vector<std::tuple<double, double, std::uint64_t, PendingRequest*>>
-            ranked;  // by value, then by latency target
+        // Ranked by value, then by latency target.
+        std::vector<std::tuple<double, double, std::uint64_t, PendingRequest*>> ranked;
         const auto addRanked = [&](PendingRequest& pending) {
             const Node* node = pending.targetShard >= 0 ? activeNode(pending.targetShard) : nullptr;
             if (pending.targetShard >= 0 && (!node || isFull(*node))) return;
@@ -774,8 +774,8 @@
                                              kMaxPermitWaitMs) -
                                   permitWait_);
         pending.permitAcked = true;
-        pending.permitDue = now_ + kPermitRetryMs +
-                            (now_ - pending.arrivedAt) / 2;  // backs off, as long queues cause many repeats
+        // Backs off, as long queues cause many repeats.
+        pending.permitDue = now_ + kPermitRetryMs + (now_ - pending.arrivedAt) / 2;
     }
     // As a coordinator, announces loads that changed much to all hosts, which place new objects by them.
     void announceLoads() {
