--- a/src/fronts/rsync/channel.hpp
+++ b/src/fronts/rsync/channel.hpp
@@ -1,4 +1,5 @@
-// The byte stream between a session and its client: frames taken apart and made, bounded on both sides.
+// The byte stream between a session and its client: multiplexes and demultiplexes frames, with bounded
+// buffers.
 #pragma once
 
 #include <functional>
@@ -17,40 +18,46 @@
   public:
     explicit Channel(std::shared_ptr<io::Pipe> pipe) : pipe_(std::move(pipe)) {}
 
-    // ---- in ----
-    // False where the stream is broken; error() tells. Reading stops by itself while much waits unread.
+    // ---- input ----
+    // Returns false if the stream is malformed; error() holds the reason. Pauses reading from the connection
+    // while too many bytes wait to be consumed.
     bool receive(std::string_view bytes);
-    std::string_view input() const { return std::string_view(in_).substr(at_); }
-    void took(std::size_t n);
+    // Bytes not consumed yet; valid until the next call of a non-const function.
+    std::string_view input() const { return std::string_view(input_).substr(consumed_); }
+    void consume(std::size_t n);
+    // Treats all input not consumed yet, and what follows, as frames.
     void startMultiplexIn();
-    // Clients of protocol 30 send the names of --files-from without frames, amid a stream of frames. So that
-    // the frames before end exactly there, they are taken apart one by one, each once the last was used up.
-    void frameByFrame() { stepwise_ = true; }
-    void unframe();
-    void reframe();
-    std::vector<wire::rsync::Demux::Beside> takeBeside() { return std::exchange(beside_, {}); }
+    // Clients of protocol 30 send the names of --files-from unframed in the middle of the multiplexed stream.
+    // To find where the frames end, each frame is decoded only after the previous one has been consumed.
+    void startFrameByFrame() { frameByFrame_ = true; }
+    // Start and end of the unframed part.
+    void suspendMultiplexIn();
+    void resumeMultiplexIn();
+    std::vector<wire::rsync::Demux::Beside> takeMessages() { return std::exchange(messages_, {}); }
     const std::string& error() const { return error_; }
 
-    // ---- out ----
-    void raw(std::string_view bytes);  // before multiplexing starts
-    void startMultiplexOut() { framed_ = true; }
-    std::string& out() { return out_; }  // data of the stream; flush() sends it
-    // Literal bytes of a file without compression: framed with one copy, whatever waits in out() goes first.
-    void literal(std::string_view bytes);
-    void message(wire::rsync::Message kind, std::string_view payload);
+    // ---- output ----
+    void writeRaw(std::string_view bytes);  // before multiplexing starts
+    void startMultiplexOut() { multiplexedOut_ = true; }
+    std::string& output() { return output_; }  // stream data, sent by flush()
+    // Sends uncompressed literal tokens, copying the bytes only once. Flushes output() first.
+    void writeLiteral(std::string_view bytes);
+    // Flushes output() first, so that messages keep their place in the stream.
+    void sendMessage(wire::rsync::Message kind, std::string_view payload);
     void flush();
-    bool blocked() const { return pipe_->backlogged() || out_.size() >= kMostPending; }
+    // Whether the caller should stop producing output.
+    bool blocked() const { return pipe_->backlogged() || output_.size() >= kMaxPendingBytes; }
 
   private:
-    static constexpr std::size_t kMostUnread = 512 * 1024, kMostPending = 128 * 1024, kFrame = 32 * 1024,
-                                 kLiteral = 128 * 1024;
+    static constexpr std::size_t kMaxUnreadBytes = 512 * 1024, kMaxPendingBytes = 128 * 1024,
+                                 kFrameBytes = 32 * 1024, kLiteralBytes = 128 * 1024;
     std::shared_ptr<io::Pipe> pipe_;
     wire::rsync::Demux demux_;
-    std::vector<wire::rsync::Demux::Beside> beside_;
-    bool step();
-    std::string in_, out_, raw_, error_;
-    std::size_t at_ = 0;
-    bool stepwise_ = false, muxed_ = false, framed_ = false, paused_ = false;
+    std::vector<wire::rsync::Demux::Beside> messages_;
+    bool demuxFrames();
+    std::string input_, output_, undecoded_, error_;
+    std::size_t consumed_ = 0;
+    bool frameByFrame_ = false, multiplexedIn_ = false, multiplexedOut_ = false, readingPaused_ = false;
 };
 
 }  // namespace spokewheel::fronts::rsync
--- a/src/fronts/rsync/context.hpp
+++ b/src/fronts/rsync/context.hpp
@@ -1,4 +1,4 @@
-// What the sessions of the rsync front share, and what the two halves of a session need of it.
+// State that all sessions of the rsync front share, and the base class of the two directions of a transfer.
 #pragma once
 
 #include <functional>
@@ -18,85 +18,95 @@
 
 namespace spokewheel::fronts::rsync {
 
-// Entries of a list that a session works on in one go, about a millisecond, before the others' turn.
+// List entries that a session processes per turn of the event loop (about a millisecond) before it yields to
+// other sessions.
 constexpr std::size_t kListSlice = 1000;
 
+// Shared by all sessions of a server; must outlive them.
 struct Context {
     const config::DaemonSettings& settings;
     host::Memory& memory;
-    // Whether the catalogue has read all nodes at least once.
-    std::function<bool()> complete;
-    std::function<void(const char* event, const std::string& session, const std::string& words)> note;
-    // A session's own way to the stored objects; the daemon's paces what the volume can't serve yet.
-    std::function<std::unique_ptr<Store>(const Patience::Bounds&)> open;
-    std::function<double()> now;  // milliseconds, never going back
-    // Calls back once after the time, unless what it returns is let go before.
-    std::function<std::shared_ptr<void>(double ms, std::function<void()>)> after;
+    // Whether the catalogue has read the change feeds of all nodes at least once.
+    std::function<bool()> catalogueComplete;
+    // Writes a log event; `session` is empty where the event belongs to a file rather than a session.
+    std::function<void(const char* event, const std::string& session, const std::string& detail)> logEvent;
+    // Opens the session's own access to stored objects. The daemon's implementation queues requests that the
+    // volume cannot serve yet.
+    std::function<std::unique_ptr<Store>(const Patience::Bounds&)> openStore;
+    std::function<double()> nowMs;  // monotonic
+    // Calls back once after `ms`, unless the returned handle is released before.
+    std::function<std::shared_ptr<void>(double ms, std::function<void()>)> callAfter;
     std::size_t listSlice = kListSlice;
-    std::size_t moving = 0;  // sessions that move data, for the parts of memory
+    std::size_t activeTransfers = 0;  // sessions past the file list; they share the memory
 };
 
-// What stands beside a file's index in requests and answers.
-constexpr std::uint16_t kTransfer = 1 << 15, kIsNew = 1 << 13, kLocalChange = 1 << 14,
-                        kBasisFollows = 1 << 11, kNameFollows = 1 << 12;
+// Item flags that follow a file index in requests and responses (ITEM_* in rsync).
+constexpr std::uint16_t kItemTransfer = 1 << 15, kItemIsNew = 1 << 13, kItemLocalChange = 1 << 14,
+                        kItemBasisTypeFollows = 1 << 11, kItemNameFollows = 1 << 12;
 
-// About what an entry of a file list costs while a session holds it.
+// Approximate memory of a file list entry that a session holds.
 constexpr std::uint64_t kListEntryBytes = 200;
 
-// What was agreed before the stream starts.
-struct Agreed {
-    Store* store = nullptr;  // outlives the half
+// What the client and the session negotiated before the multiplexed stream starts.
+struct TransferParameters {
+    Store* store = nullptr;  // outlives the transfer
     const config::VolumeSettings* volume = nullptr;
     wire::rsync::Options options;
     int protocol = 0;
-    std::uint32_t flags = 0;
-    wire::rsync::SumKind sums = wire::rsync::SumKind::Md5;
-    wire::rsync::SumKind listSums = wire::rsync::SumKind::Md5;  // of -c
-    std::int32_t seed = 0;
-    bool seedFirst() const { return flags & wire::rsync::kSeedFix; }
+    std::uint32_t compatFlags = 0;
+    wire::rsync::SumKind checksumKind = wire::rsync::SumKind::Md5;
+    wire::rsync::SumKind listChecksumKind = wire::rsync::SumKind::Md5;  // of file lists with --checksum
+    std::int32_t checksumSeed = 0;
+    // Whether block checksums hash the seed before the block.
+    bool seedFirst() const { return compatFlags & wire::rsync::kSeedFix; }
 };
 
+// Binary MD5 of the concatenation.
 std::string md5(std::string_view first, std::string_view second);
-// A digest kept in hex as the protocol writes it: low half first, each half little endian.
-std::string sumOf(const std::string& hex);
+// Converts an xxh128 digest from the catalogue's hex form to the protocol's binary form: low half first, each
+// half little endian. Empty if `hex` is not 32 digits long.
+std::string checksumFromHex(const std::string& hex);
 
-// How both halves write and read lists in this session.
-wire::rsync::ListForm listForm(const Agreed& agreed);
+// The encoding of file lists in this session, for both directions.
+wire::rsync::ListForm listForm(const TransferParameters& parameters);
 
-// One rule of the client's filter list, taken off its input.
-enum class FilterStep { More, Rule, End, Bad };
-FilterStep readFilterRule(Channel& channel, wire::rsync::Filter& filter, std::string& fault);
+// Reads one rule of the client's filter list from the channel. `error` is set with Invalid.
+enum class FilterRuleResult { NeedInput, Rule, End, Invalid };
+FilterRuleResult readFilterRule(Channel& channel, wire::rsync::Filter& filter, std::string& error);
 
-enum class Waits { Nothing, Client, Room, Answer, Memory, Timer };
-const char* nameOf(Waits waits);
+// The event that a transfer needs before it can continue.
+enum class WaitReason { None, Client, OutputSpace, StoreResponse, Memory, Timer };
+const char* nameOf(WaitReason reason);  // for log lines
 
-// One direction of a transfer. advance() goes on as far as input, output and answers allow; it is called
-// again whenever one of them changed.
-class Half {
+// This host's side of a transfer, in one direction. advance() proceeds as far as input, output buffers and
+// store responses allow; the session calls it again whenever one of them has changed.
+class TransferSide {
   public:
-    // `wake` has advance() called from the loop, once, in a turn of its own.
-    explicit Half(std::function<void()> wake) : wake_(std::move(wake)) {}
-    virtual ~Half() = default;
-    // False once the session is over; fault() is then empty or says why it broke.
+    // `wake` schedules one call of advance() in a later turn of the event loop.
+    explicit TransferSide(std::function<void()> wake) : wake_(std::move(wake)) {}
+    virtual ~TransferSide() = default;
+    // Returns false once the transfer has ended; error() is then empty or holds the reason of a failure.
     virtual bool advance() = 0;
-    virtual void beside(const wire::rsync::Demux::Beside& message) { (void)message; }
-    // Whether requests are open for it: a session is idle only where none are.
-    virtual bool working() const = 0;
-    // The one thing without which advance() can't go on, once it has returned true. Nothing means stuck:
-    // no happening would ever call it again.
-    virtual Waits waits() const = 0;
-    const std::string& fault() const { return fault_; }
+    // A non-data message of the multiplexed stream.
+    virtual void onMessage(const wire::rsync::Demux::Beside& message) { (void)message; }
+    // Whether the transfer waits for this host; the client does not count as idle meanwhile.
+    virtual bool hasPendingWork() const = 0;
+    // What the transfer waits for after advance() returned true. None means that it is stuck: no event would
+    // call advance() again.
+    virtual WaitReason waitReason() const = 0;
+    const std::string& error() const { return error_; }
 
   protected:
-    // For work that goes slice by slice: the rest comes in the next turn. advance() takes it back.
-    bool nextTurn() {
-        turn_ = true;
+    // Ends a slice of long work: schedules the next one and returns false, so that callers can return it.
+    // advance() resets the flag.
+    bool resumeNextTurn() {
+        resumeScheduled_ = true;
         wake_();
         return false;
     }
     std::function<void()> wake_;
-    bool turn_ = false;
-    std::string fault_;
+    bool resumeScheduled_ = false;
+    std::string error_;
 };
 
 }  // namespace spokewheel::fronts::rsync
--- a/src/fronts/rsync/incoming.hpp
+++ b/src/fronts/rsync/incoming.hpp
@@ -1,4 +1,4 @@
-// One file on its way in: the piece being filled, checksums of the whole, what has been stored so far.
+// A file that is being received: the piece being filled, whole-file checksums, and the pieces stored so far.
 #pragma once
 
 #include <memory>
@@ -14,26 +14,27 @@
 
 namespace spokewheel::fronts::rsync {
 
-struct Incoming {
+struct IncomingFile {
     std::int32_t index = 0;
-    int round = 0;                   // in which it came
-    catalogue::FileVersion version;  // what it becomes once all of it is stored
-    std::shared_ptr<Basis> basis;
-    std::string piece;
-    host::Memory::Lease lease;
+    int phase = 0;                   // the transfer phase that it was sent in; 0 is the first attempt
+    catalogue::FileVersion version;  // stored once all pieces are
+    std::shared_ptr<Basis> basis;    // null if sent without delta
+    std::string pieceBuffer;         // content not handed to the store yet
+    host::Memory::Lease pieceLease;
     std::vector<catalogue::Piece> pieces;
     std::uint64_t size = 0;
-    std::size_t piecesOpen = 0;
-    bool ended = false, verified = false;
-    std::string fault;
+    std::size_t openPieces = 0;               // writes without a response
+    bool received = false, verified = false;  // all content came; it matches the client's checksum
+    std::string error;                        // first error; the rest of the content is read and dropped
 
-    FileSum whole, stored;  // as the session carries it; as the catalogue keeps it
+    FileSum transferChecksum, storedChecksum;  // of the negotiated kind; of the catalogue's
 
-    explicit Incoming(wire::rsync::SumKind kind) : whole(kind), stored(wire::rsync::SumKind::Xxh128) {}
+    explicit IncomingFile(wire::rsync::SumKind kind)
+        : transferChecksum(kind), storedChecksum(wire::rsync::SumKind::Xxh128) {}
     void add(std::string_view bytes) {
-        whole.add(bytes);
-        stored.add(bytes);
-        piece += bytes;
+        transferChecksum.add(bytes);
+        storedChecksum.add(bytes);
+        pieceBuffer += bytes;
         size += bytes.size();
     }
 };
--- a/src/fronts/rsync/listing.cpp
+++ b/src/fronts/rsync/listing.cpp
@@ -12,9 +12,9 @@
 
 ListBuilder::ListBuilder(const catalogue::Catalogue& catalogue, const std::string& volume,
                          const wire::rsync::Options& options, std::vector<ModulePath> paths,
-                         const wire::rsync::Filter& filter, std::size_t most)
-    : catalogue_(catalogue), volume_(volume), options_(options), filter_(filter), most_(most) {
-    for (auto& p : paths) tasks_.push_back({What::Argument, std::move(p), "", "", {}});
+                         const wire::rsync::Filter& filter, std::size_t maxEntries)
+    : catalogue_(catalogue), volume_(volume), options_(options), filter_(filter), maxEntries_(maxEntries) {
+    for (auto& p : paths) tasks_.push_back({TaskKind::Argument, std::move(p), "", "", {}});
 }
 
 bool ListBuilder::step(std::size_t entries) {
@@ -22,132 +22,139 @@
         if (entries == 0) return false;
         auto task = std::move(tasks_.front());
         tasks_.pop_front();
-        if (task.what == What::Argument) {
+        if (task.kind == TaskKind::Argument) {
             --entries;
-            argument(task.path);
+            resolveArgument(task.path);
             continue;
         }
-        const auto& below = task.what == What::Pattern ? std::string() : task.path.path;
-        const auto part = catalogue_.belowFrom(volume_, below, task.after, entries);
+        const auto& below = task.kind == TaskKind::Pattern ? std::string() : task.path.path;
+        const auto part = catalogue_.belowFrom(volume_, below, task.resumeAfter, entries);
         entries -= std::min(entries, part.shown.size() + 1);
-        for (const auto& v : part.shown) walk(task, v);
-        task.after = part.last;
+        for (const auto& v : part.shown) visit(task, v);
+        task.resumeAfter = part.last;
         if (!part.more) {
-            over(std::move(task));
+            finishTask(std::move(task));
             continue;
         }
         tasks_.push_front(std::move(task));
         return false;
     }
     if (entries == 0 || !sorter_.step(wire::rsync::ListSorter::kMovesAnEntry * entries)) return false;
-    for (; moved_ < found_.size(); --entries) {
+    for (; movedCount_ < found_.size(); --entries) {
         if (entries == 0) return false;
-        auto& next = found_[sorter_.order()[moved_++]];
-        // Named by two arguments: once is enough.
-        if (sorted_.files.empty() || sorted_.files.back().entry.name != next.entry.name)
-            sorted_.files.push_back(std::move(next));
+        auto& next = found_[sorter_.order()[movedCount_++]];
+        // A file named by two arguments is listed once.
+        if (listing_.files.empty() || listing_.files.back().entry.name != next.entry.name)
+            listing_.files.push_back(std::move(next));
     }
     return true;
 }
 
-void ListBuilder::put(Listed listed) {
+void ListBuilder::add(ListedFile listed) {
     sorter_.add(listed.entry);
     found_.push_back(std::move(listed));
 }
 
-void ListBuilder::file(const catalogue::Shown& v, const std::string& name) {
-    if (filter_.excluded(name, false) || full()) return;
-    Listed l;
+void ListBuilder::addFile(const catalogue::Shown& v, const std::string& name) {
+    if (filter_.excluded(name, false) || limitReached()) return;
+    ListedFile l;
     l.entry.name = name;
     l.entry.size = v->size;
     l.entry.mtime = v->mtime;
     l.entry.nsec = v->nsec;
     l.entry.mode = wire::rsync::kRegular | (v->mode & 07777);
-    if (options_.checksum) l.entry.sum = sumOf(v->digest);
+    if (options_.checksum) l.entry.sum = checksumFromHex(v->digest);
     l.version = v;
-    put(std::move(l));
+    add(std::move(l));
 }
 
-void ListBuilder::directory(const std::string& path, const std::string& name, bool top, bool content) {
-    if (!named_.insert(name).second || (name != "." && filter_.excluded(name, true)) || full()) return;
-    const auto own = catalogue_.find(volume_, path);
-    Listed l;
+void ListBuilder::addDirectory(const std::string& path, const std::string& name, bool top, bool content) {
+    if (!listedDirectories_.insert(name).second || (name != "." && filter_.excluded(name, true)) ||
+        limitReached())
+        return;
+    const auto stored = catalogue_.find(volume_, path);
+    ListedFile l;
     l.entry.name = name;
-    l.entry.mode = wire::rsync::kDirectory | (own ? own->mode & 07777 : 0755);
-    l.entry.mtime = own ? own->mtime : 0;
+    l.entry.mode = wire::rsync::kDirectory | (stored ? stored->mode & 07777 : 0755);
+    l.entry.mtime = stored ? stored->mtime : 0;
     l.entry.top = top;
     l.entry.content = content;
-    put(std::move(l));
+    add(std::move(l));
 }
 
-void ListBuilder::argument(const ModulePath& p) {
-    if (!p.fault.empty()) return fault("path " + p.fault);
+void ListBuilder::resolveArgument(const ModulePath& p) {
+    if (!p.error.empty()) return addError("path " + p.error);
     if (const auto v = catalogue_.find(volume_, p.path); v && v->kind == Kind::File) {
-        if (options_.relative) parents(p);
-        return file(v, p.path.substr(options_.relative ? p.base : p.path.rfind('/') + 1));
+        if (options_.relative) addParents(p);
+        return addFile(v, p.path.substr(options_.relative ? p.baseLength : p.path.rfind('/') + 1));
     }
     if (!catalogue_.isDirectory(volume_, p.path)) {
-        Task task{What::Pattern, p, "", "", {}};
+        Task task{TaskKind::Pattern, p, "", "", {}};
         if (p.path.find_first_of("*?[") != p.path.npos) return tasks_.push_front(std::move(task));
-        return over(std::move(task));
+        return finishTask(std::move(task));
     }
-    if (!options_.recurse && !options_.directories) return fault("skipping directory " + p.path);
-    const bool inside = p.path.empty() || p.trailingSlash;
-    const auto name = p.path.substr(options_.relative ? p.base : p.path.rfind('/') + 1);
-    if (options_.relative) parents(p);
-    const bool atTop = options_.relative ? name.empty() : inside;
-    directory(p.path, atTop ? "." : name, options_.recurse || inside, options_.recurse || inside);
-    if (options_.recurse || inside)
-        tasks_.push_front({options_.recurse ? What::Tree : What::Level, p, atTop ? "" : name + "/", "", {}});
+    if (!options_.recurse && !options_.directories) return addError("skipping directory " + p.path);
+    const bool contentOnly = p.path.empty() || p.trailingSlash;
+    const auto name = p.path.substr(options_.relative ? p.baseLength : p.path.rfind('/') + 1);
+    if (options_.relative) addParents(p);
+    const bool atTop = options_.relative ? name.empty() : contentOnly;
+    addDirectory(p.path, atTop ? "." : name, options_.recurse || contentOnly,
+                 options_.recurse || contentOnly);
+    if (options_.recurse || contentOnly)
+        tasks_.push_front(
+            {options_.recurse ? TaskKind::Tree : TaskKind::Level, p, atTop ? "" : name + "/", "", {}});
 }
 
-// One of what lies below the task's path.
-void ListBuilder::walk(Task& task, const catalogue::Shown& v) {
+// Handles one catalogue entry below the task's path.
+void ListBuilder::visit(Task& task, const catalogue::Shown& v) {
     const auto& path = task.path.path;
-    if (task.what == What::Pattern) {
-        // A shell pattern over whole paths of as many parts.
+    if (task.kind == TaskKind::Pattern) {
+        // The pattern is matched against the leading part of the path with as many components.
         const auto depth = std::count(path.begin(), path.end(), '/');
         std::size_t end = 0;
         for (long i = 0; i <= depth && end != v->path.npos; ++i) end = v->path.find('/', end + (i > 0));
         if (std::count(v->path.begin(), v->path.end(), '/') < depth) return;
         const auto head = v->path.substr(0, end);
-        if (wire::rsync::wildMatch(path, head)) task.hits.insert(head);
+        if (wire::rsync::wildMatch(path, head)) task.matches.insert(head);
         return;
     }
-    const bool tree = task.what == What::Tree;
+    const bool tree = task.kind == TaskKind::Tree;
     const auto skip = path.empty() ? 0 : path.size() + 1;
     const auto rest = v->path.substr(skip);
-    // Directories that nobody stored as such exist by what they hold. Without -r one level is listed.
+    // Directories without an entry of their own exist through their content. Without --recursive only one
+    // level is listed.
     for (auto slash = rest.find('/'); slash != rest.npos; slash = rest.find('/', slash + 1)) {
-        directory(v->path.substr(0, skip + slash), task.prefix + rest.substr(0, slash), false, tree);
+        addDirectory(v->path.substr(0, skip + slash), task.prefix + rest.substr(0, slash), false, tree);
         if (!tree) return;
     }
-    if (v->kind == Kind::Directory) directory(v->path, task.prefix + rest, false, tree);
-    else file(v, task.prefix + rest);
+    if (v->kind == Kind::Directory) addDirectory(v->path, task.prefix + rest, false, tree);
+    else addFile(v, task.prefix + rest);
 }
 
-void ListBuilder::over(Task task) {
-    if (task.what != What::Pattern) return;
-    for (auto hit = task.hits.rbegin(); hit != task.hits.rend(); ++hit)
-        tasks_.push_front({What::Argument, {*hit, false, 0, ""}, "", "", {}});
-    if (task.hits.empty() && !options_.ignoreMissing)
-        fault("\"" + task.path.path + "\" is not there (in " + volume_ + ")");
+void ListBuilder::finishTask(Task task) {
+    if (task.kind != TaskKind::Pattern) return;
+    for (auto match = task.matches.rbegin(); match != task.matches.rend(); ++match)
+        tasks_.push_front({TaskKind::Argument, {*match, false, 0, ""}, "", "", {}});
+    if (task.matches.empty() && !options_.ignoreMissing)
+        addError("\"" + task.path.path + "\" is not there (in " + volume_ + ")");
 }
 
-// The directories on the way, from the base on.
-void ListBuilder::parents(const ModulePath& p) {
-    for (auto slash = p.path.find('/', p.base); slash != p.path.npos; slash = p.path.find('/', slash + 1))
-        directory(p.path.substr(0, slash), p.path.substr(p.base, slash - p.base), false, false);
+// Adds the parent directories of a --relative path, below its base.
+void ListBuilder::addParents(const ModulePath& p) {
+    for (auto slash = p.path.find('/', p.baseLength); slash != p.path.npos;
+         slash = p.path.find('/', slash + 1))
+        addDirectory(p.path.substr(0, slash), p.path.substr(p.baseLength, slash - p.baseLength), false,
+                     false);
 }
 
-void ListBuilder::fault(std::string words) {
-    if (sorted_.errors.size() < 100) sorted_.errors.push_back(std::move(words));
+void ListBuilder::addError(std::string message) {
+    if (listing_.errors.size() < 100) listing_.errors.push_back(std::move(message));
 }
 
-bool ListBuilder::full() {
-    if (found_.size() < most_) return false;
-    if (!told_) fault("more than " + std::to_string(most_) + " files: list is cut off");
-    told_ = true;
+bool ListBuilder::limitReached() {
+    if (found_.size() < maxEntries_) return false;
+    if (!limitReported_) addError("more than " + std::to_string(maxEntries_) + " files: list is cut off");
+    limitReported_ = true;
     return true;
 }
 
@@ -157,21 +164,22 @@
     if (path == volume) path.clear();
     else if (path.rfind(volume + "/", 0) == 0) path.erase(0, volume.size() + 1);
     out.trailingSlash = path.empty() || path.back() == '/';
-    // Slashes at the ends and doubled ones, and "." parts, mean nothing; ".." is refused.
-    std::string plain;
+    // Drops empty and "." components; ".." is rejected by faultOfName() below.
+    std::string normalized;
     for (std::size_t at = 0; at <= path.size();) {
         const auto slash = std::min(path.find('/', at), path.size());
         const auto part = path.substr(at, slash - at);
-        if (part == "." && at > 0 && slash < path.size()) out.base = plain.empty() ? 0 : plain.size() + 1;
-        if (!part.empty() && part != ".") plain += (plain.empty() ? "" : "/") + part;
+        if (part == "." && at > 0 && slash < path.size())
+            out.baseLength = normalized.empty() ? 0 : normalized.size() + 1;
+        if (!part.empty() && part != ".") normalized += (normalized.empty() ? "" : "/") + part;
         at = slash + 1;
     }
-    out.path = plain;
-    if (out.base > plain.size())
-        out.base = plain.size();  // all of it: the list's top is the directory itself
-    if (!plain.empty()) {
-        const auto why = wire::rsync::faultOfName(plain);
-        if (!why.empty()) out.fault = "\"" + plain.substr(0, 200) + "\" " + why;
+    out.path = normalized;
+    if (out.baseLength > normalized.size())
+        out.baseLength = normalized.size();  // the whole path: the directory itself is the list's top
+    if (!normalized.empty()) {
+        const auto why = wire::rsync::faultOfName(normalized);
+        if (!why.empty()) out.error = "\"" + normalized.substr(0, 200) + "\" " + why;
     }
     return out;
 }
--- a/src/fronts/rsync/listing.hpp
+++ b/src/fronts/rsync/listing.hpp
@@ -1,4 +1,4 @@
-// Which files of a volume a client's arguments name, as the list it is sent. Reads the catalogue; no I/O.
+// Builds the file list of a download from the client's path arguments. Reads the catalogue; no I/O.
 #pragma once
 
 #include <deque>
@@ -12,68 +12,68 @@
 
 namespace spokewheel::fronts::rsync {
 
-struct Listed {
+struct ListedFile {
     wire::rsync::FileEntry entry;
-    catalogue::Shown version;  // pinned: what is served even where the path is replaced meanwhile
+    catalogue::Shown version;  // served even if the path is overwritten meanwhile
 };
 struct Listing {
-    std::deque<Listed> files;         // in the order both sides number them; never moved to grow
-    std::vector<std::string> errors;  // arguments that name nothing, options that can't be met
+    std::deque<ListedFile> files;     // in index order; a deque, so that growing moves nothing
+    std::vector<std::string> errors;  // messages for the client
 };
 
-// A path of a client below its module: the module's name and slashes around are taken off, and what
-// faultOfName() refuses is refused. "" is the top. What lies before a "/./" part is the base of a relative
-// list.
+// A client's path argument relative to its module, without the module name and redundant slashes. "" is the
+// module's top. The part before "/./" is left out of the names of a --relative list.
 struct ModulePath {
     std::string path;
     bool trailingSlash = false;
-    std::size_t base = 0;  // bytes of `path` that names in a relative list leave out, its slash included
-    std::string fault;
+    std::size_t baseLength = 0;  // of the part before "/./", with its slash
+    std::string error;           // why the path is refused (faultOfName()); empty if it is valid
 };
 ModulePath parseModulePath(const std::string& volume, const std::string& argument);
 
-// Makes such a list in steps of bounded work: walks the catalogue, then sorts. Everything it is given
-// outlives it. A path that changes while it walks is listed as it was or as it is.
+// Builds a listing in steps of bounded work: walks the catalogue, then sorts. The referenced arguments must
+// outlive the builder. A path that changes during the walk is listed in either its old or its new state.
 class ListBuilder {
   public:
     ListBuilder(const catalogue::Catalogue& catalogue, const std::string& volume,
                 const wire::rsync::Options& options, std::vector<ModulePath> paths,
-                const wire::rsync::Filter& filter, std::size_t most);
-    // Goes on for about so many entries; true once the list is whole.
+                const wire::rsync::Filter& filter, std::size_t maxEntries);
+    // Processes about `entries` entries; returns true once the listing is complete.
     bool step(std::size_t entries);
-    Listing take() { return std::move(sorted_); }
+    Listing take() { return std::move(listing_); }
 
   private:
-    enum class What { Argument, Tree, Level, Pattern };
+    // A path argument not looked up yet, a recursive walk, a walk of one directory level, a shell pattern.
+    enum class TaskKind { Argument, Tree, Level, Pattern };
     struct Task {
-        What what = What::Argument;
+        TaskKind kind = TaskKind::Argument;
         ModulePath path;
-        std::string prefix;          // of the names: "" or with a slash at its end
-        std::string after;           // as far as the walk has come
-        std::set<std::string> hits;  // of a pattern
+        std::string prefix;             // of listed names: empty or with a trailing slash
+        std::string resumeAfter;        // last path visited
+        std::set<std::string> matches;  // paths that match the pattern
     };
-    void file(const catalogue::Shown& v, const std::string& name);
-    void directory(const std::string& path, const std::string& name, bool top, bool content);
-    void argument(const ModulePath& p);
-    void walk(Task& task, const catalogue::Shown& v);
-    void over(Task task);
-    void parents(const ModulePath& p);
-    void put(Listed listed);
-    void fault(std::string words);
-    bool full();
+    void addFile(const catalogue::Shown& v, const std::string& name);
+    void addDirectory(const std::string& path, const std::string& name, bool top, bool content);
+    void resolveArgument(const ModulePath& p);
+    void visit(Task& task, const catalogue::Shown& v);
+    void finishTask(Task task);
+    void addParents(const ModulePath& p);
+    void add(ListedFile listed);
+    void addError(std::string message);
+    bool limitReached();
 
     const catalogue::Catalogue& catalogue_;
     const std::string& volume_;
     const wire::rsync::Options& options_;
     const wire::rsync::Filter& filter_;
-    std::size_t most_;
+    std::size_t maxEntries_;
     std::deque<Task> tasks_;
-    std::set<std::string> named_;  // directories that are listed
-    std::deque<Listed> found_;
+    std::set<std::string> listedDirectories_;  // names of directories in the list
+    std::deque<ListedFile> found_;
     wire::rsync::ListSorter sorter_;
-    std::size_t moved_ = 0;
-    bool told_ = false;
-    Listing sorted_;
+    std::size_t movedCount_ = 0;
+    bool limitReported_ = false;
+    Listing listing_;
 };
 
 }  // namespace spokewheel::fronts::rsync
--- a/src/fronts/rsync/receiving.cpp
+++ b/src/fronts/rsync/receiving.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr std::uint64_t kLeastForDelta = 16 * 1024;
-constexpr std::uint32_t kDeleteLimit = 1 << 2;  // of the error bits a client ends by (exit 25)
-constexpr std::size_t kLeastLease = 4096, kListStep = 1000;
+constexpr std::uint64_t kMinDeltaBytes = 16 * 1024;    // smaller files are transferred whole
+constexpr std::uint32_t kIoErrorDeleteLimit = 1 << 2;  // io_error bit that makes the client exit with 25
+constexpr std::size_t kMinLeaseBytes = 4096, kEntriesPerLease = 1000;
 
 std::string join(const std::string& directory, const std::string& name) {
     if (name == ".") return directory;
@@ -26,67 +26,69 @@
 
 }  // namespace
 
-Receiving::Receiving(Context& context, Agreed agreed, Channel& channel, std::function<void()> wake)
-    : Half(std::move(wake)),
+ReceivingSide::ReceivingSide(Context& context, TransferParameters parameters, Channel& channel,
+                             std::function<void()> wake)
+    : TransferSide(std::move(wake)),
       context_(context),
-      agreed_(std::move(agreed)),
+      parameters_(std::move(parameters)),
       channel_(channel),
       filter_(wire::rsync::Filter::Side::Receiver),
-      tokens_(agreed_.options.compress) {
-    const auto& o = agreed_.options;
-    listReader_ = std::make_unique<ListReader>(listForm(agreed_));
-    // The client sends its rules where something here may need them.
+      tokenReader_(parameters_.options.compress) {
+    const auto& o = parameters_.options;
+    listReader_ = std::make_unique<ListReader>(listForm(parameters_));
+    // The client sends filter rules only with these options.
     if (!o.remove && !o.pruneEmpty) state_ = State::List;
-    target_ = parseModulePath(agreed_.volume->name, o.paths.empty() ? "" : o.paths.back());
-    if (!target_.fault.empty()) broken("path " + target_.fault);
+    target_ = parseModulePath(parameters_.volume->name, o.paths.empty() ? "" : o.paths.back());
+    if (!target_.error.empty()) fail("path " + target_.error);
     if (o.backupDir.empty()) return;
     const auto dir = parseModulePath("", o.backupDir);
-    if (!dir.fault.empty()) broken("--backup-dir " + dir.fault);
+    if (!dir.error.empty()) fail("--backup-dir " + dir.error);
     backupDir_ = o.backupDir[0] == '/' ? dir.path : join(target_.path, dir.path.empty() ? "." : dir.path);
 }
 
-Receiving::~Receiving() {
-    if (moving_) --context_.moving;
-    for (const auto& [ticket, id] : open_) agreed_.store->abandon(id);
+ReceivingSide::~ReceivingSide() {
+    if (countedActive_) --context_.activeTransfers;
+    for (const auto& [ticket, id] : openRequests_) parameters_.store->abandon(id);
 }
 
-bool Receiving::broken(std::string why) {
-    fault_ = std::move(why);
-    state_ = State::Over;
+bool ReceivingSide::fail(std::string why) {
+    error_ = std::move(why);
+    state_ = State::Finished;
     return false;
 }
 
-void Receiving::tell(const std::string& path, const std::string& words) {
-    // A client that sends a million symlinks and reads nothing must not fill the queue to it: what can't go
-    // out is counted and told as a number.
+void ReceivingSide::reportFileError(const std::string& path, const std::string& reason) {
+    // A client that sends a million symlinks and reads nothing must not fill the output queue: errors that
+    // cannot be sent now are only counted, and the count is sent at the end.
     if (channel_.blocked()) {
-        ++untold_;
+        ++unreportedErrors_;
         return;
     }
-    channel_.message(Message::ErrorXfer,
-                     "spokewheel: \"" + path + "\" (in " + agreed_.volume->name + "): " + words + "\n");
-    context_.note("file_not_stored", "", path + ": " + words);
+    channel_.sendMessage(Message::ErrorXfer, "spokewheel: \"" + path + "\" (in " + parameters_.volume->name +
+                                                 "): " + reason + "\n");
+    context_.logEvent("file_not_stored", "", path + ": " + reason);
 }
 
-// The answer of a request, for as long as this session lives; it is open until then.
+// Wraps a store callback: removes the request from openRequests_ and resumes the transfer after `then`. Does
+// nothing if the transfer no longer exists.
 template <class Result, class Then>
-std::function<void(Result)> Receiving::track(std::uint64_t ticket, Then then) {
+std::function<void(Result)> ReceivingSide::trackRequest(std::uint64_t ticket, Then then) {
     return [weak = weak_from_this(), ticket, then = std::move(then)](Result r) mutable {
         const auto self = weak.lock();
         if (!self) return;
-        self->open_.erase(ticket);
+        self->openRequests_.erase(ticket);
         then(std::move(r));
         self->wake_();
     };
 }
 
-std::size_t Receiving::allowed() const {
-    return host::piecesAhead(context_.memory.free(), context_.moving, context_.settings.pieceBytes,
+std::size_t ReceivingSide::maxOpenRequests() const {
+    return host::piecesAhead(context_.memory.free(), context_.activeTransfers, context_.settings.pieceBytes,
                              context_.settings.piecesAhead);
 }
 
-bool Receiving::advance() {
-    turn_ = false;
+bool ReceivingSide::advance() {
+    resumeScheduled_ = false;
     for (bool more = true; more;) {
         switch (state_) {
             case State::Filter:
@@ -96,75 +98,80 @@
                 more = readList();
                 break;
             case State::Sort:
-                more = sort();
+                more = sortStep();
                 break;
             case State::Plan:
-                more = plan();
+                more = planStep();
                 break;
             case State::Transfer: {
-                const bool a = request(), b = chores(), c = state_ == State::Transfer && read();
-                more = state_ == State::Transfer && rounds();
+                const bool a = requestFiles(), b = runMetadataWrites(),
+                           c = state_ == State::Transfer && readFiles();
+                more = state_ == State::Transfer && advancePhase();
                 more = more || a || b || c;
                 break;
             }
             case State::Goodbye:
                 more = goodbye();
                 break;
-            case State::Over:
+            case State::Finished:
                 more = false;
         }
     }
     channel_.flush();
-    return state_ != State::Over;
+    return state_ != State::Finished;
 }
 
-Waits Receiving::waits() const {
-    const auto answer = [this](bool open) { return open ? Waits::Answer : Waits::Nothing; };
+WaitReason ReceivingSide::waitReason() const {
+    const auto storeResponseIf = [this](bool open) {
+        return open ? WaitReason::StoreResponse : WaitReason::None;
+    };
     switch (state_) {
         case State::Filter:
         case State::List:
         case State::Goodbye:
-            return Waits::Client;
+            return WaitReason::Client;
         case State::Sort:
         case State::Plan:
-            return turn_ ? Waits::Timer : Waits::Nothing;
+            return resumeScheduled_ ? WaitReason::Timer : WaitReason::None;
         case State::Transfer:
             break;
-        case State::Over:
-            return Waits::Nothing;
-    }
-    // A file on its way in comes first: it holds what the client sends behind it.
-    if (current_) {
-        if (copying_ >= 0 && current_->basis->loading()) return Waits::Answer;
-        const bool room = !current_->piece.empty() || !current_->fault.empty() || open_.size() < allowed();
-        if (wantsSum_ || (copying_ < 0 && room)) return Waits::Client;
-        return answer(!room && !open_.empty());
-    }
-    if (channel_.blocked()) return Waits::Room;
-    if (preparing_) return answer(preparing_->loading());
-    if (!chores_.empty()) return answer(!open_.empty());
-    // Either the client has files to send and rounds to end, or what it sent is still being stored.
-    if (doneSeen_ < doneSent_ || asked_.size() >= context_.settings.filesAhead) return Waits::Client;
-    return answer(!open_.empty());
-}
-
-bool Receiving::readFilter() {
+        case State::Finished:
+            return WaitReason::None;
+    }
+    // The file being received comes first: everything the client sends after it waits.
+    if (currentFile_) {
+        if (copyingBlock_ >= 0 && currentFile_->basis->loading()) return WaitReason::StoreResponse;
+        const bool hasRoom = !currentFile_->pieceBuffer.empty() || !currentFile_->error.empty() ||
+                             openRequests_.size() < maxOpenRequests();
+        if (expectsChecksum_ || (copyingBlock_ < 0 && hasRoom)) return WaitReason::Client;
+        return storeResponseIf(!hasRoom && !openRequests_.empty());
+    }
+    if (channel_.blocked()) return WaitReason::OutputSpace;
+    if (preparingBasis_) return storeResponseIf(preparingBasis_->loading());
+    if (!metadataWrites_.empty()) return storeResponseIf(!openRequests_.empty());
+    // Either the client has files to send or phases to end, or its content is still being stored.
+    if (doneReceived_ < doneSent_ || requested_.size() >= context_.settings.filesAhead)
+        return WaitReason::Client;
+    return storeResponseIf(!openRequests_.empty());
+}
+
+bool ReceivingSide::readFilter() {
     std::string why;
     switch (readFilterRule(channel_, filter_, why)) {
-        case FilterStep::More:
+        case FilterRuleResult::NeedInput:
             return false;
-        case FilterStep::Bad:
-            return broken(std::move(why));
-        case FilterStep::End:
+        case FilterRuleResult::Invalid:
+            return fail(std::move(why));
+        case FilterRuleResult::End:
             state_ = State::List;
             break;
-        case FilterStep::Rule:
+        case FilterRuleResult::Rule:
             break;
     }
     return true;
 }
 
-bool Receiving::readList() {
+bool ReceivingSide::readList() {
     for (;;) {
         auto in = channel_.input();
         const auto before = in.size();
@@ -173,24 +180,24 @@
             case ListReader::Got::More:
                 return false;
             case ListReader::Got::Bad:
-                return broken("file list: " + listReader_->error());
+                return fail("file list: " + listReader_->error());
             case ListReader::Got::Entry:
-                channel_.took(before - in.size());
+                channel_.consume(before - in.size());
                 if (list_.size() >= context_.settings.listEntries)
-                    return broken("more than " + std::to_string(context_.settings.listEntries) + " files");
-                if (list_.size() % kListStep == 0) {
-                    // To wait here could wait for ever: two lists half-way in would hold what both need.
-                    const auto bytes = kListStep * kListEntryBytes;
+                    return fail("more than " + std::to_string(context_.settings.listEntries) + " files");
+                if (list_.size() % kEntriesPerLease == 0) {
+                    // Waiting could deadlock: two half-read lists may hold the memory that both need.
+                    const auto bytes = kEntriesPerLease * kListEntryBytes;
                     if (!host::mayKeepList(bytes, context_.memory.free(), context_.memory.used()) &&
                         !list_.empty())
-                        return broken("no memory for a file list this long now, try again later");
+                        return fail("no memory for a file list this long now, try again later");
                     listLeases_.push_back(context_.memory.take(bytes));
                 }
                 sorter_.add(entry);
                 list_.push_back(std::move(entry));
                 break;
             case ListReader::Got::End:
-                channel_.took(before - in.size());
+                channel_.consume(before - in.size());
                 sorted_.reserve(list_.size());
                 state_ = State::Sort;
                 return true;
@@ -198,82 +205,84 @@
     }
 }
 
-// ---------------------------------------------------------------- what is wanted
-std::string Receiving::pathOf(const FileEntry& entry) const {
-    return renamed_ ? target_.path : join(target_.path, entry.name);
+// ---------------------------------------------------------------- planning
+std::string ReceivingSide::pathOf(const FileEntry& entry) const {
+    return targetIsFile_ ? target_.path : join(target_.path, entry.name);
 }
 
-FileVersion Receiving::draft(const FileEntry& e, const std::string& path) const {
+// The version that storing the entry creates, except for its content.
+FileVersion ReceivingSide::draftVersion(const FileEntry& e, const std::string& path) const {
     FileVersion v;
     v.path = path;
     v.kind = e.isDirectory() ? Kind::Directory : Kind::File;
-    const auto& o = agreed_.options;
-    const auto shown = agreed_.store->catalogue().find(agreed_.volume->name, path);
-    v.mode = modeFor(e.mode, shown.get(), o);
+    const auto& o = parameters_.options;
+    const auto existing = parameters_.store->catalogue().find(parameters_.volume->name, path);
+    v.mode = resultingMode(e.mode, existing.get(), o);
     const bool times = o.times && !(o.omitDirTimes && e.isDirectory());
     v.mtime = times ? e.mtime : g_get_real_time() / 1000000;
     v.nsec = times ? e.nsec : 0;
-    v.version = agreed_.store->catalogue().baseVersion(agreed_.volume->name, path) + 1;
+    v.version = parameters_.store->catalogue().baseVersion(parameters_.volume->name, path) + 1;
     return v;
 }
 
-// Sorting and planning go slice by slice, so that other sessions go on meanwhile.
-bool Receiving::sort() {
-    bool whole = sorter_.step(ListSorter::kMovesAnEntry * context_.listSlice);
-    if (whole) {
+// Sorting and planning run in slices, so that other sessions can proceed in between.
+bool ReceivingSide::sortStep() {
+    bool done = sorter_.step(ListSorter::kMovesAnEntry * context_.listSlice);
+    if (done) {
         const auto& order = sorter_.order();
         for (std::size_t n = 0; n < context_.listSlice && sorted_.size() < order.size(); ++n)
-            putSorted(sorted_, kept_, std::move(list_[order[sorted_.size()]]));
-        whole = sorted_.size() == order.size();
+            putSorted(sorted_, keptCount_, std::move(list_[order[sorted_.size()]]));
+        done = sorted_.size() == order.size();
     }
-    if (!whole) return nextTurn();
+    if (!done) return resumeNextTurn();
     list_ = std::move(sorted_);
     sorter_ = {};
     startPlan();
-    return state_ != State::Over;
-}
-
-void Receiving::startPlan() {
-    ++context_.moving;
-    moving_ = true;
-    const auto& known = agreed_.store->catalogue();
-    const auto& volume = agreed_.volume->name;
-    renamed_ = list_.size() == 1 && !list_[0].isDirectory() && !target_.trailingSlash &&
-               !known.isDirectory(volume, target_.path);
-    if (!renamed_ && !target_.path.empty() && !known.isDirectory(volume, target_.path)) {
-        auto chore = std::make_shared<Chore>();
+    return state_ != State::Finished;
+}
+
+void ReceivingSide::startPlan() {
+    ++context_.activeTransfers;
+    countedActive_ = true;
+    const auto& catalogue = parameters_.store->catalogue();
+    const auto& volume = parameters_.volume->name;
+    targetIsFile_ = list_.size() == 1 && !list_[0].isDirectory() && !target_.trailingSlash &&
+                    !catalogue.isDirectory(volume, target_.path);
+    if (!targetIsFile_ && !target_.path.empty() && !catalogue.isDirectory(volume, target_.path)) {
+        auto write = std::make_shared<MetadataWrite>();
         FileEntry e;
         e.mode = kDirectory | 0755;
         e.mtime = g_get_real_time() / 1000000;
-        chore->version = draft(e, target_.path);
-        if (!agreed_.options.dryRun) chores_.push_back(std::move(chore));
+        write->version = draftVersion(e, target_.path);
+        if (!parameters_.options.dryRun) metadataWrites_.push_back(std::move(write));
     }
     state_ = State::Plan;
-    if (agreed_.options.pruneEmpty) {
+    if (parameters_.options.pruneEmpty) {
         const auto empty = emptyDirectories();
         for (auto& e : list_)
             if (e.isDirectory() && empty.count(e.name)) e.dropped = true;
     }
 }
 
-bool Receiving::plan() {
-    for (std::size_t n = 0; planned_ < list_.size(); ++planned_, ++n) {
-        if (n == context_.listSlice) return nextTurn();
-        const auto& e = list_[planned_];
+bool ReceivingSide::planStep() {
+    for (std::size_t n = 0; plannedCount_ < list_.size(); ++plannedCount_, ++n) {
+        if (n == context_.listSlice) return resumeNextTurn();
+        const auto& e = list_[plannedCount_];
         if (e.dropped) continue;
-        if (const auto why = faultOfName(e.name); !why.empty()) tell(e.name, "name " + why);
+        if (const auto why = faultOfName(e.name); !why.empty()) reportFileError(e.name, "name " + why);
         else if (!e.isDirectory() && !e.isFile())
-            tell(e.name, (e.mode & kTypeMask) == kSymlink ? "symlinks are not stored"
-                                                          : "devices and special files are not stored");
-        else planEntry(static_cast<std::int32_t>(planned_), pathOf(e));
+            reportFileError(e.name, (e.mode & kTypeMask) == kSymlink
+                                        ? "symlinks are not stored"
+                                        : "devices and special files are not stored");
+        else planEntry(static_cast<std::int32_t>(plannedCount_), pathOf(e));
     }
-    if (agreed_.options.remove) planDeletions();
+    if (parameters_.options.remove) planDeletions();
     state_ = State::Transfer;
     return true;
 }
 
-// Directories of the list below which no file of it lies; the top is never one.
-std::set<std::string> Receiving::emptyDirectories() const {
+// Names of listed directories without a listed file below them; never the top directory.
+std::set<std::string> ReceivingSide::emptyDirectories() const {
     std::set<std::string> out;
     for (const auto& e : list_)
         if (e.isDirectory() && e.name != ".") out.insert(e.name);
@@ -286,206 +295,214 @@
     return out;
 }
 
-// Where what the path shows now is kept when it is replaced or goes; empty: nowhere.
-std::string Receiving::backupOf(const std::string& path) const {
-    const auto& o = agreed_.options;
+// Where the current file of `path` is kept when it is replaced or deleted; empty without --backup.
+std::string ReceivingSide::backupPathFor(const std::string& path) const {
+    const auto& o = parameters_.options;
     if (!o.backup) return "";
     if (backupDir_.empty()) return path + o.backupSuffix;
     const auto skip = target_.path.empty() ? 0 : target_.path.size() + 1;
     return join(backupDir_, path.substr(std::min(skip, path.size()))) + o.backupSuffix;
 }
 
-void Receiving::keepBackup(const catalogue::Shown& shown, const std::string& path) {
-    if (!shown || shown->kind != Kind::File) return;
-    const auto to = backupOf(path);
-    if (to.empty() || to == path || agreed_.options.dryRun) return;
-    if (const auto why = faultOfName(to); !why.empty()) return tell(to, "name " + why);
-    auto chore = std::make_shared<Chore>();
-    chore->version = *shown;
-    chore->version.path = to;
-    chore->version.version = agreed_.store->catalogue().baseVersion(agreed_.volume->name, to) + 1;
-    chore->contentOf = shown;
-    chores_.push_back(std::move(chore));
+void ReceivingSide::scheduleBackup(const catalogue::Shown& existing, const std::string& path) {
+    if (!existing || existing->kind != Kind::File) return;
+    const auto to = backupPathFor(path);
+    if (to.empty() || to == path || parameters_.options.dryRun) return;
+    if (const auto why = faultOfName(to); !why.empty()) return reportFileError(to, "name " + why);
+    auto write = std::make_shared<MetadataWrite>();
+    write->version = *existing;
+    write->version.path = to;
+    write->version.version = parameters_.store->catalogue().baseVersion(parameters_.volume->name, to) + 1;
+    write->contentSource = existing;
+    metadataWrites_.push_back(std::move(write));
 }
 
-void Receiving::planEntry(std::int32_t index, const std::string& path) {
+void ReceivingSide::planEntry(std::int32_t index, const std::string& path) {
     const auto& e = list_[static_cast<std::size_t>(index)];
-    const auto& known = agreed_.store->catalogue();
-    const auto& volume = agreed_.volume->name;
-    const auto shown = known.find(volume, path);
+    const auto& catalogue = parameters_.store->catalogue();
+    const auto& volume = parameters_.volume->name;
+    const auto existing = catalogue.find(volume, path);
     if (e.isDirectory()) {
         if (path.empty()) return;
-        const bool there = known.isDirectory(volume, path);
-        const auto& o = agreed_.options;
-        if (!there && o.existing) return;
-        if (there && shown && shown->kind == Kind::File) return tell(path, "is a file");
-        const bool sameTimes = !o.times || o.omitDirTimes || (shown && shown->mtime == e.mtime);
-        const bool sameMode = !o.perms || (shown && shown->mode == (e.mode & 07777));
-        const bool same = there && sameTimes && sameMode;
+        const bool exists = catalogue.isDirectory(volume, path);
+        const auto& o = parameters_.options;
+        if (!exists && o.existing) return;
+        if (exists && existing && existing->kind == Kind::File) return reportFileError(path, "is a file");
+        const bool sameTimes = !o.times || o.omitDirTimes || (existing && existing->mtime == e.mtime);
+        const bool sameMode = !o.perms || (existing && existing->mode == (e.mode & 07777));
+        const bool same = exists && sameTimes && sameMode;
         if (same || o.dryRun) return;
-        if (!there) {
-            out_.put(channel_.out(), index);
-            putU16(channel_.out(), kIsNew | kLocalChange);
+        if (!exists) {
+            indexOut_.put(channel_.output(), index);
+            putU16(channel_.output(), kItemIsNew | kItemLocalChange);
         }
-        auto chore = std::make_shared<Chore>();
-        chore->version = draft(e, path);
-        return chores_.push_back(std::move(chore));
-    }
-    if (known.isDirectory(volume, path)) return tell(path, "is a directory");
-    const auto& o = agreed_.options;
-    const bool sums = shown && o.checksum && agreed_.listSums == SumKind::Xxh128;
-    switch (wanted(e, shown.get(), sums ? sumOf(shown->digest) : "", o)) {
-        case Wanted::Skip:
+        auto write = std::make_shared<MetadataWrite>();
+        write->version = draftVersion(e, path);
+        return metadataWrites_.push_back(std::move(write));
+    }
+    if (catalogue.isDirectory(volume, path)) return reportFileError(path, "is a directory");
+    const auto& o = parameters_.options;
+    const bool compareChecksums = existing && o.checksum && parameters_.listChecksumKind == SumKind::Xxh128;
+    switch (
+        decideFileAction(e, existing.get(), compareChecksums ? checksumFromHex(existing->digest) : "", o)) {
+        case FileAction::Skip:
             return;
-        case Wanted::Transfer:
-            return todo_.push_back(index);
-        case Wanted::Same:
+        case FileAction::Transfer:
+            return requestQueue_.push_back(index);
+        case FileAction::UpToDate:
             break;
     }
-    sameAsShown(index, shown);
+    updateAttributes(index, existing);
 }
 
-// The content is there: only times and modes may have to follow.
-void Receiving::sameAsShown(std::int32_t index, const catalogue::Shown& shown) {
-    const auto& o = agreed_.options;
+// The content is up to date: writes a new version only if the time or mode differs.
+void ReceivingSide::updateAttributes(std::int32_t index, const catalogue::Shown& existing) {
+    const auto& o = parameters_.options;
     const auto& e = list_[static_cast<std::size_t>(index)];
-    if (o.removeSource) succeeded(index);
-    // A time within the window is left as it is; where content was compared (-c) it is set to the second.
+    if (o.removeSource) reportSuccess(index);
+    // A time within the window is kept, but with --checksum it must match to the second.
     const int window = o.checksum ? 0 : o.modifyWindow;
-    const bool times = o.times && !sameTime(e.mtime, e.nsec, shown->mtime, shown->nsec, window);
-    const bool mode = modeFor(e.mode, shown.get(), o) != shown->mode;
+    const bool times = o.times && !sameTime(e.mtime, e.nsec, existing->mtime, existing->nsec, window);
+    const bool mode = resultingMode(e.mode, existing.get(), o) != existing->mode;
     if (!(times || mode) || o.dryRun) return;
-    auto chore = std::make_shared<Chore>();
-    chore->version = draft(e, shown->path);
-    chore->version.size = shown->size;
-    chore->version.digest = shown->digest;
-    if (!times) chore->version.mtime = shown->mtime, chore->version.nsec = shown->nsec;
-    chore->contentOf = shown;
-    chores_.push_back(std::move(chore));
-}
-
-// What lies in a directory of the list and is not in the list goes, unless a rule excludes it; nothing goes
-// where the client could not read all it has, or where this host does not know all that is stored.
-void Receiving::planDeletions() {
-    if (listReader_->ioError() && !agreed_.options.ignoreErrors)
-        return tell(target_.path, "the client had errors: nothing is deleted");
-    if (!context_.complete()) return tell(target_.path, "not all nodes have been read: nothing is deleted");
-    std::set<std::string> named, content;
+    auto write = std::make_shared<MetadataWrite>();
+    write->version = draftVersion(e, existing->path);
+    write->version.size = existing->size;
+    write->version.digest = existing->digest;
+    if (!times) write->version.mtime = existing->mtime, write->version.nsec = existing->nsec;
+    write->contentSource = existing;
+    metadataWrites_.push_back(std::move(write));
+}
+
+// Schedules the deletion of entries that are missing from the client's list. Deletes nothing if the client
+// had read errors, or if this host has not read the feeds of all nodes and may not know all entries.
+void ReceivingSide::planDeletions() {
+    if (listReader_->ioError() && !parameters_.options.ignoreErrors)
+        return reportFileError(target_.path, "the client had errors: nothing is deleted");
+    if (!context_.catalogueComplete())
+        return reportFileError(target_.path, "not all nodes have been read: nothing is deleted");
+    std::set<std::string> listed, completeDirectories;
     for (const auto& e : list_) {
-        // One that is there twice is named by the other; one that was pruned is not wanted.
+        // Dropped entries are duplicates, which another entry names, or pruned directories.
         if (e.dropped) continue;
-        named.insert(pathOf(e));
-        if (e.isDirectory() && e.content) content.insert(pathOf(e));
+        listed.insert(pathOf(e));
+        if (e.isDirectory() && e.content) completeDirectories.insert(pathOf(e));
     }
     const auto skip = target_.path.empty() ? 0 : target_.path.size() + 1;
-    const auto shown = agreed_.store->catalogue().below(agreed_.volume->name, target_.path);
-    std::vector<ExistingEntry> lying;
-    for (const auto& v : shown) lying.push_back({v->path, v->kind == Kind::Directory});
-    const auto mayGo = [&](const ExistingEntry& one) {
-        return !inBackups(one.path) &&
-               !filter_.excluded(std::string_view(one.path).substr(skip), one.directory);
+    const auto existing = parameters_.store->catalogue().below(parameters_.volume->name, target_.path);
+    std::vector<ExistingEntry> entries;
+    for (const auto& v : existing) entries.push_back({v->path, v->kind == Kind::Directory});
+    const auto mayDelete = [&](const ExistingEntry& entry) {
+        return !inBackupDirectory(entry.path) &&
+               !filter_.excluded(std::string_view(entry.path).substr(skip), entry.directory);
     };
-    const auto leavesBackup = [&](const ExistingEntry& one) {
-        return agreed_.options.backup && backupDir_.empty() && !isBackup(one.path);
+    const auto leavesBackup = [&](const ExistingEntry& entry) {
+        return parameters_.options.backup && backupDir_.empty() && !hasBackupSuffix(entry.path);
     };
-    const auto found = selectDeletions(lying, named, content, mayGo, leavesBackup, agreed_.options.maxDelete);
+    const auto found = selectDeletions(entries, listed, completeDirectories, mayDelete, leavesBackup,
+                                       parameters_.options.maxDelete);
     for (const auto i : found.toDelete) {
-        const auto& v = shown[i];
-        auto chore = std::make_shared<Chore>();
-        chore->version.path = v->path;
-        chore->version.kind = Kind::Gone;
-        chore->version.version = v->version + 1;
-        chore->version.mtime = g_get_real_time() / 1000000;
-        chore->removed = v->path.substr(skip);
-        if (v->kind == Kind::Directory) chore->removed += '\0';  // how the client knows a directory
+        const auto& v = existing[i];
+        auto write = std::make_shared<MetadataWrite>();
+        write->version.path = v->path;
+        write->version.kind = Kind::Gone;
+        write->version.version = v->version + 1;
+        write->version.mtime = g_get_real_time() / 1000000;
+        write->deletedName = v->path.substr(skip);
+        if (v->kind == Kind::Directory) write->deletedName += '\0';  // marks a directory for the client
         ++(v->kind == Kind::Directory ? deletedDirectories_ : deleted_);
-        if (!isBackup(v->path)) keepBackup(v, v->path);
-        chores_.push_back(std::move(chore));
+        if (!hasBackupSuffix(v->path)) scheduleBackup(v, v->path);
+        metadataWrites_.push_back(std::move(write));
     }
-    const auto over = found.skipped;
-    if (over == 0) return;
-    channel_.message(Message::Warning,
-                     "Deletions stopped due to --max-delete limit (" + std::to_string(over) + " skipped)\n");
+    const auto skipped = found.skipped;
+    if (skipped == 0) return;
+    channel_.sendMessage(Message::Warning, "Deletions stopped due to --max-delete limit (" +
+                                               std::to_string(skipped) + " skipped)\n");
     std::string code;
-    putU32(code, kDeleteLimit);
-    channel_.message(Message::IoError, code);
+    putU32(code, kIoErrorDeleteLimit);
+    channel_.sendMessage(Message::IoError, code);
 }
 
-// Backups lie within what is uploaded to: they are not what the client left out.
-bool Receiving::inBackups(const std::string& path) const {
+// Whether the path lies in the backup directory or above it. Backups are not in the client's list, but must
+// not be deleted.
+bool ReceivingSide::inBackupDirectory(const std::string& path) const {
     return !backupDir_.empty() && backupDir_ != target_.path &&
            (path == backupDir_ || path.rfind(backupDir_ + "/", 0) == 0 ||
             backupDir_.rfind(path + "/", 0) == 0);
 }
-bool Receiving::isBackup(const std::string& path) const {
-    const auto& suffix = agreed_.options.backupSuffix;
+bool ReceivingSide::hasBackupSuffix(const std::string& path) const {
+    const auto& suffix = parameters_.options.backupSuffix;
     return backupDir_.empty() && path.size() > suffix.size() &&
            path.compare(path.size() - suffix.size(), suffix.size(), suffix) == 0;
 }
 
-// The client takes its own away only once it is told.
-void Receiving::succeeded(std::int32_t index) {
-    if (agreed_.options.dryRun) return;
+// With --remove-source-files the client deletes its file only after this message.
+void ReceivingSide::reportSuccess(std::int32_t index) {
+    if (parameters_.options.dryRun) return;
     std::string text;
     putU32(text, static_cast<std::uint32_t>(index));
-    channel_.message(Message::Success, text);
+    channel_.sendMessage(Message::Success, text);
 }
 
-// ---------------------------------------------------------------- small writes
-bool Receiving::chores() {
+// ---------------------------------------------------------------- metadata writes
+bool ReceivingSide::runMetadataWrites() {
     bool any = false;
-    while (!chores_.empty() && choresOpen_ < context_.settings.piecesAhead && !channel_.blocked()) {
-        auto chore = std::move(chores_.front());
-        chores_.pop_front();
-        ++choresOpen_;
+    while (!metadataWrites_.empty() && openMetadataWrites_ < context_.settings.piecesAhead &&
+           !channel_.blocked()) {
+        auto write = std::move(metadataWrites_.front());
+        metadataWrites_.pop_front();
+        ++openMetadataWrites_;
         any = true;
-        runChore(std::move(chore));
+        runMetadataWrite(std::move(write));
     }
     return any;
 }
 
-void Receiving::runChore(std::shared_ptr<Chore> chore) {
-    const auto& of = chore->contentOf;
-    auto& v = chore->version;
-    if (!chore->removed.empty()) channel_.message(Message::Deleted, chore->removed);
-    if (agreed_.options.dryRun) {
-        --choresOpen_;
+void ReceivingSide::runMetadataWrite(std::shared_ptr<MetadataWrite> write) {
+    const auto& source = write->contentSource;
+    auto& v = write->version;
+    if (!write->deletedName.empty()) channel_.sendMessage(Message::Deleted, write->deletedName);
+    if (parameters_.options.dryRun) {
+        --openMetadataWrites_;
         return;
     }
-    if (!of || of->size == 0) return writeChore(chore, std::make_shared<const std::string>());
+    if (!source || source->size == 0) return storeMetadataWrite(write, std::make_shared<const std::string>());
     v.layout = Layout::Manifest;
-    if (of->layout == Layout::Inline)
-        return writeChore(
-            chore, std::make_shared<const std::string>(catalogue::encode(
-                       std::vector<catalogue::Piece>{{of->shard, "o/" + of->id, of->size, of->digest}})));
+    if (source->layout == Layout::Inline)
+        return storeMetadataWrite(
+            write, std::make_shared<const std::string>(catalogue::encode(std::vector<catalogue::Piece>{
+                       {source->shard, "o/" + source->id, source->size, source->digest}})));
     const auto ticket = ++nextTicket_;
-    open_[ticket] = agreed_.store->read(
-        *agreed_.volume, of->shard, "o/" + of->id, kMostManifest, of->size, "",
-        track<ReadResult>(ticket, [this, chore](ReadResult r) {
-            if (r.fine) return writeChore(chore, std::make_shared<const std::string>(std::move(r.body)));
-            --choresOpen_;
-            tell(chore->version.path, r.words);
+    openRequests_[ticket] = parameters_.store->read(
+        *parameters_.volume, source->shard, "o/" + source->id, kMostManifest, source->size, "",
+        trackRequest<ReadResult>(ticket, [this, write](ReadResult r) {
+            if (r.fine)
+                return storeMetadataWrite(write, std::make_shared<const std::string>(std::move(r.body)));
+            --openMetadataWrites_;
+            reportFileError(write->version.path, r.words);
         }));
 }
 
-void Receiving::writeChore(const std::shared_ptr<Chore>& chore, std::shared_ptr<const std::string> body) {
+void ReceivingSide::storeMetadataWrite(const std::shared_ptr<MetadataWrite>& write,
+                                       std::shared_ptr<const std::string> body) {
     const auto ticket = ++nextTicket_;
-    open_[ticket] = agreed_.store->writeVersion(
-        *agreed_.volume, chore->version, body, track<WriteResult>(ticket, [this, chore, body](WriteResult r) {
-            if (!r.fine) tell(chore->version.path, r.words);
-            --choresOpen_;
-        }));
+    openRequests_[ticket] =
+        parameters_.store->writeVersion(*parameters_.volume, write->version, body,
+                                        trackRequest<WriteResult>(ticket, [this, write, body](WriteResult r) {
+                                            if (!r.fine) reportFileError(write->version.path, r.words);
+                                            --openMetadataWrites_;
+                                        }));
 }
 
-// ---------------------------------------------------------------- asking for files
-void Receiving::requestOne(std::int32_t index, const BlockSums* sums) {
-    auto& out = channel_.out();
+// ---------------------------------------------------------------- requesting files
+void ReceivingSide::requestFile(std::int32_t index, const BlockSums* sums) {
+    auto& out = channel_.output();
     const auto& e = list_[static_cast<std::size_t>(index)];
-    const bool fresh = !agreed_.store->catalogue().find(agreed_.volume->name, pathOf(e));
-    out_.put(out, index);
-    putU16(out, static_cast<std::uint16_t>(kTransfer | (fresh ? kIsNew : 0)));
-    asked_.insert(index);
-    if (agreed_.options.dryRun) return;
+    const bool isNew = !parameters_.store->catalogue().find(parameters_.volume->name, pathOf(e));
+    indexOut_.put(out, index);
+    putU16(out, static_cast<std::uint16_t>(kItemTransfer | (isNew ? kItemIsNew : 0)));
+    requested_.insert(index);
+    if (parameters_.options.dryRun) return;
     putSumHead(out, sums ? sums->head : SumHead{});
     if (!sums) return;
     const auto n = static_cast<std::size_t>(sums->head.sumBytes);
@@ -495,288 +512,293 @@
     }
 }
 
-bool Receiving::request() {
+bool ReceivingSide::requestFiles() {
     bool any = false;
-    while (!todo_.empty() && asked_.size() < context_.settings.filesAhead && !channel_.blocked()) {
-        const auto index = todo_.front();
+    while (!requestQueue_.empty() && requested_.size() < context_.settings.filesAhead &&
+           !channel_.blocked()) {
+        const auto index = requestQueue_.front();
         const auto& e = list_[static_cast<std::size_t>(index)];
-        const auto shown = agreed_.store->catalogue().find(agreed_.volume->name, pathOf(e));
-        const bool delta = shown && shown->kind == Kind::File && shown->size >= kLeastForDelta &&
-                           doneSeen_ == 0 && e.size >= kLeastForDelta && !agreed_.options.wholeFile &&
-                           !agreed_.options.dryRun;
-        if (delta && !preparing_) {
-            preparing_ = std::make_shared<Basis>(context_, agreed_, shown, wake_);
-            preparing_->prepare();
+        const auto existing = parameters_.store->catalogue().find(parameters_.volume->name, pathOf(e));
+        const bool delta = existing && existing->kind == Kind::File && existing->size >= kMinDeltaBytes &&
+                           doneReceived_ == 0 && e.size >= kMinDeltaBytes && !parameters_.options.wholeFile &&
+                           !parameters_.options.dryRun;
+        if (delta && !preparingBasis_) {
+            preparingBasis_ = std::make_shared<Basis>(context_, parameters_, existing, wake_);
+            preparingBasis_->prepare();
         }
-        if (delta && !preparing_->ready() && !preparing_->failed()) break;
-        const bool use = delta && preparing_->ready();
-        requestOne(index, use ? &preparing_->sums() : nullptr);
-        if (use) {
-            preparing_->dropCache();
-            bases_[index] = preparing_;
+        if (delta && !preparingBasis_->ready() && !preparingBasis_->failed()) break;
+        const bool useDelta = delta && preparingBasis_->ready();
+        requestFile(index, useDelta ? &preparingBasis_->sums() : nullptr);
+        if (useDelta) {
+            preparingBasis_->dropCache();
+            basisByIndex_[index] = preparingBasis_;
         }
-        preparing_ = nullptr;
-        todo_.pop_front();
+        preparingBasis_ = nullptr;
+        requestQueue_.pop_front();
         channel_.flush();
         any = true;
     }
     return any;
 }
 
-void Receiving::beside(const Demux::Beside& message) {
+void ReceivingSide::onMessage(const Demux::Beside& message) {
     if (message.kind != Message::NoSend) return;
     Reader r(message.payload);
     const auto index = r.i32();
-    if (r.enough()) asked_.erase(index), bases_.erase(index);
+    if (r.enough()) requested_.erase(index), basisByIndex_.erase(index);
 }
 
-// ---------------------------------------------------------------- taking files
-bool Receiving::read() {
+// ---------------------------------------------------------------- receiving files
+bool ReceivingSide::readFiles() {
     bool any = false;
-    while (state_ == State::Transfer && (current_ ? readContent() : readHead())) any = true;
+    while (state_ == State::Transfer && (currentFile_ ? readContent() : readItemHeader())) any = true;
     return any;
 }
 
-bool Receiving::readHead() {
-    if (channel_.input().empty() || doneSeen_ >= 3) return false;
-    auto coder = in_;
+bool ReceivingSide::readItemHeader() {
+    if (channel_.input().empty() || doneReceived_ >= 3) return false;
+    auto coder = indexIn_;
     Reader r(channel_.input());
     const auto index = coder.get(r);
     if (!r.enough()) return false;
     if (index == kDone) {
-        in_ = coder;
-        channel_.took(r.used());
-        if (++doneSeen_ > doneSent_) return broken("a round ended that was not");
-        asked_.clear();
+        indexIn_ = coder;
+        channel_.consume(r.used());
+        if (++doneReceived_ > doneSent_) return fail("a round ended that was not");
+        requested_.clear();
         return true;
     }
     const auto flags = r.u16();
-    if (flags & kBasisFollows) r.byte();
-    if (flags & kNameFollows) r.vstring(kMostName);
-    const bool content = (flags & kTransfer) && !agreed_.options.dryRun;
+    if (flags & kItemBasisTypeFollows) r.byte();
+    if (flags & kItemNameFollows) r.vstring(kMostName);
+    const bool content = (flags & kItemTransfer) && !parameters_.options.dryRun;
     if (content) getSumHead(r);
-    if (r.bad()) return broken(r.why());
+    if (r.bad()) return fail(r.why());
     if (!r.enough()) return false;
     if (index < 0 || static_cast<std::size_t>(index) >= list_.size())
-        return broken("file index " + std::to_string(index) + " out of range");
-    if (content && !asked_.count(index)) return broken("a file came that was not asked for");
-    in_ = coder;
-    channel_.took(r.used());
+        return fail("file index " + std::to_string(index) + " out of range");
+    if (content && !requested_.count(index)) return fail("a file came that was not asked for");
+    indexIn_ = coder;
+    channel_.consume(r.used());
     if (!content) {
-        asked_.erase(index);
+        requested_.erase(index);
         return true;
     }
-    current_ = std::make_shared<Incoming>(agreed_.sums);
-    current_->index = index;
-    current_->round = doneSeen_;
+    currentFile_ = std::make_shared<IncomingFile>(parameters_.checksumKind);
+    currentFile_->index = index;
+    currentFile_->phase = doneReceived_;
     const auto& e = list_[static_cast<std::size_t>(index)];
-    current_->version = draft(e, pathOf(e));
-    if (const auto b = bases_.find(index); b != bases_.end()) current_->basis = b->second;
+    currentFile_->version = draftVersion(e, pathOf(e));
+    if (const auto b = basisByIndex_.find(index); b != basisByIndex_.end()) currentFile_->basis = b->second;
     return true;
 }
 
-// A new piece starts only where the window and the memory have room for it: until then nothing more is read
-// from the client, and its own sends come to a stop.
-bool Receiving::startPiece() {
-    if (!current_->piece.empty() || !current_->fault.empty()) return true;
-    if (open_.size() >= allowed()) return false;
-    const auto expected = list_[static_cast<std::size_t>(current_->index)].size;
-    const auto rest = expected > current_->size ? expected - current_->size : 0;
-    current_->lease =
-        context_.memory.take(std::clamp<std::uint64_t>(rest, kLeastLease, context_.settings.pieceBytes));
+// Reserves memory for a new piece if the limits on open requests and memory allow it. Until then no more
+// input is read, which stops the client by back-pressure.
+bool ReceivingSide::reservePiece() {
+    if (!currentFile_->pieceBuffer.empty() || !currentFile_->error.empty()) return true;
+    if (openRequests_.size() >= maxOpenRequests()) return false;
+    const auto expected = list_[static_cast<std::size_t>(currentFile_->index)].size;
+    const auto rest = expected > currentFile_->size ? expected - currentFile_->size : 0;
+    currentFile_->pieceLease =
+        context_.memory.take(std::clamp<std::uint64_t>(rest, kMinLeaseBytes, context_.settings.pieceBytes));
     return true;
 }
 
-bool Receiving::copyBlock() {
-    auto& f = *current_;
-    if (!f.fault.empty()) {
-        copying_ = -1;
+bool ReceivingSide::copyBlock() {
+    auto& f = *currentFile_;
+    if (!f.error.empty()) {
+        copyingBlock_ = -1;
         return true;
     }
-    if (!startPiece()) return false;
-    // A block may lie over two pieces, of which one is held at a time: what was copied is kept meanwhile.
-    if (!f.basis->copy(copying_, copied_, copiedBytes_)) {
+    if (!reservePiece()) return false;
+    // A block may span two pieces, and the basis holds one at a time: the first part is kept in copiedBytes_.
+    if (!f.basis->appendBlock(copyingBlock_, copiedLength_, copiedBytes_)) {
         if (!f.basis->failed()) return false;
-        f.fault = "reading what it is based on: " + f.basis->fault();
+        f.error = "reading what it is based on: " + f.basis->error();
     } else f.add(copiedBytes_);
-    copying_ = -1;
-    copied_ = 0;
+    copyingBlock_ = -1;
+    copiedLength_ = 0;
     copiedBytes_.clear();
-    if (f.piece.size() >= context_.settings.pieceBytes) flushPiece(current_);
+    if (f.pieceBuffer.size() >= context_.settings.pieceBytes) storeFullPieces(currentFile_);
     return true;
 }
 
-bool Receiving::readContent() {
-    auto& f = *current_;
-    if (copying_ >= 0) return copyBlock();
+bool ReceivingSide::readContent() {
+    auto& f = *currentFile_;
+    if (copyingBlock_ >= 0) return copyBlock();
     auto in = channel_.input();
     const auto before = in.size();
-    if (wantsSum_) {
-        const auto n = sizeOf(agreed_.sums);
+    if (expectsChecksum_) {
+        const auto n = sizeOf(parameters_.checksumKind);
         if (in.size() < n) return false;
         const std::string sum(in.substr(0, n));
-        channel_.took(n);
-        ended(sum);
+        channel_.consume(n);
+        finishContent(sum);
         return true;
     }
-    if (!startPiece()) return false;
-    const auto token = tokens_.next(in);
-    if (token.kind == Token::Kind::Bad) return broken("file content: " + tokens_.error());
-    if (token.kind == Token::Kind::Literal && f.fault.empty()) {
+    if (!reservePiece()) return false;
+    const auto token = tokenReader_.next(in);
+    if (token.kind == Token::Kind::Bad) return fail("file content: " + tokenReader_.error());
+    if (token.kind == Token::Kind::Literal && f.error.empty()) {
         f.add(token.literal);
-        if (f.piece.size() >= context_.settings.pieceBytes) flushPiece(current_);
+        if (f.pieceBuffer.size() >= context_.settings.pieceBytes) storeFullPieces(currentFile_);
     }
     if (token.kind == Token::Kind::Block) {
-        if (!f.basis || !f.basis->has(token.block)) return broken("a block that is not there was named");
-        copying_ = token.block;
+        if (!f.basis || !f.basis->hasBlock(token.block)) return fail("a block that is not there was named");
+        copyingBlock_ = token.block;
     }
-    if (token.kind == Token::Kind::End) wantsSum_ = true;
-    channel_.took(before - in.size());
+    if (token.kind == Token::Kind::End) expectsChecksum_ = true;
+    channel_.consume(before - in.size());
     return token.kind != Token::Kind::More || before != in.size();
 }
 
-void Receiving::flushPiece(const std::shared_ptr<Incoming>& f) {
-    const auto most = static_cast<std::size_t>(context_.settings.pieceBytes);
-    while (f->piece.size() >= most || (f->ended && !f->piece.empty())) {
+// Hands full pieces of the buffer to the store, and the rest once all content has come.
+void ReceivingSide::storeFullPieces(const std::shared_ptr<IncomingFile>& f) {
+    const auto pieceBytes = static_cast<std::size_t>(context_.settings.pieceBytes);
+    while (f->pieceBuffer.size() >= pieceBytes || (f->received && !f->pieceBuffer.empty())) {
         if (f->pieces.size() >= catalogue::kMostPieces) {
-            f->fault = "has more than " + std::to_string(catalogue::kMostPieces) + " pieces";
-            f->piece.clear();
+            f->error = "has more than " + std::to_string(catalogue::kMostPieces) + " pieces";
+            f->pieceBuffer.clear();
             return;
         }
-        auto body = std::make_shared<std::string>(f->piece.substr(0, most));
-        f->piece.erase(0, most);
-        auto lease = std::make_shared<host::Memory::Lease>(std::move(f->lease));
+        auto body = std::make_shared<std::string>(f->pieceBuffer.substr(0, pieceBytes));
+        f->pieceBuffer.erase(0, pieceBytes);
+        auto lease = std::make_shared<host::Memory::Lease>(std::move(f->pieceLease));
         catalogue::Piece p;
         p.size = body->size();
         p.digest = catalogue::hex128(*body);
-        p.object = "p/" + catalogue::pieceId(agreed_.volume->name, f->version.path, f->version.version,
+        p.object = "p/" + catalogue::pieceId(parameters_.volume->name, f->version.path, f->version.version,
                                              f->pieces.size(), p.digest);
         f->pieces.push_back(std::move(p));
-        ++f->piecesOpen;
-        putPiece(f, f->pieces.size() - 1, std::move(body), std::move(lease));
+        ++f->openPieces;
+        storePiece(f, f->pieces.size() - 1, std::move(body), std::move(lease));
     }
 }
 
-void Receiving::putPiece(const std::shared_ptr<Incoming>& f, std::size_t i,
-                         std::shared_ptr<const std::string> body,
-                         std::shared_ptr<host::Memory::Lease> lease) {
+void ReceivingSide::storePiece(const std::shared_ptr<IncomingFile>& f, std::size_t i,
+                               std::shared_ptr<const std::string> body,
+                               std::shared_ptr<host::Memory::Lease> lease) {
     const auto ticket = ++nextTicket_;
     const auto expected = list_[static_cast<std::size_t>(f->index)].size;
-    open_[ticket] =
-        agreed_.store->writePiece(*agreed_.volume, f->version.path, f->pieces[i].object.substr(2), body,
-                                  expected, track<WriteResult>(ticket, [this, f, i, lease](WriteResult r) {
-                                      if (!r.fine && f->fault.empty()) f->fault = r.words;
-                                      f->pieces[i].shard = r.shard;
-                                      --f->piecesOpen;
-                                      settle(f);
-                                  }));
-}
-
-void Receiving::ended(std::string_view sum) {
-    auto& f = *current_;
-    f.ended = true;
-    f.verified = f.whole.wire() == sum;
+    openRequests_[ticket] = parameters_.store->writePiece(
+        *parameters_.volume, f->version.path, f->pieces[i].object.substr(2), body, expected,
+        trackRequest<WriteResult>(ticket, [this, f, i, lease](WriteResult r) {
+            if (!r.fine && f->error.empty()) f->error = r.words;
+            f->pieces[i].shard = r.shard;
+            --f->openPieces;
+            finishFile(f);
+        }));
+}
+
+void ReceivingSide::finishContent(std::string_view sum) {
+    auto& f = *currentFile_;
+    f.received = true;
+    f.verified = f.transferChecksum.wireDigest() == sum;
     f.version.size = f.size;
-    f.version.digest = f.stored.hex();
-    wantsSum_ = false;
-    asked_.erase(f.index);
-    bases_.erase(f.index);
-    // What is shown only at the end must not fill the memory until then: all of it goes out as pieces.
-    if (!f.pieces.empty() || (agreed_.options.delayUpdates && f.size > 0)) flushPiece(current_);
-    const auto file = std::exchange(current_, nullptr);
-    settle(file);
-}
-
-// Once all of a file came and each piece has its answer: shown, asked for again, or told as failed.
-void Receiving::settle(const std::shared_ptr<Incoming>& f) {
-    if (!f->ended || f->piecesOpen > 0) return;
-    if (f->fault.empty() && !f->verified) {
-        if (f->round == 0) return redo_.push_back(f->index);
-        f->fault = "its content did not match its checksum, twice";
-    }
-    if (!f->fault.empty()) return tell(f->version.path, f->fault);
-    // -c by a checksum that is not stored: only now is it known that nothing has changed.
-    const auto shown = agreed_.store->catalogue().find(agreed_.volume->name, f->version.path);
-    if (agreed_.options.checksum && shown && shown->kind == Kind::File && shown->size == f->size &&
-        shown->digest == f->version.digest)
-        return sameAsShown(f->index, shown);
-    if (agreed_.options.delayUpdates) delayed_.push_back({f->index, f->version, std::move(f->pieces)});
-    else commit({f->index, f->version, std::move(f->pieces)}, std::move(f->piece), f);
-}
-
-// `keep` holds the memory that the content has, until the answer.
-void Receiving::commit(Whole whole, std::string content, std::shared_ptr<void> keep) {
-    if (!whole.pieces.empty()) {
-        whole.version.layout = Layout::Manifest;
-        content = catalogue::encode(whole.pieces);
-    }
-    const auto& path = whole.version.path;
-    keepBackup(agreed_.store->catalogue().find(agreed_.volume->name, path), path);
+    f.version.digest = f.storedChecksum.hex();
+    expectsChecksum_ = false;
+    requested_.erase(f.index);
+    basisByIndex_.erase(f.index);
+    // Content that is committed only at the end must not occupy memory until then: store all of it as pieces.
+    if (!f.pieces.empty() || (parameters_.options.delayUpdates && f.size > 0)) storeFullPieces(currentFile_);
+    const auto file = std::exchange(currentFile_, nullptr);
+    finishFile(file);
+}
+
+// Once all content has come and all pieces have a response: commits the file, queues a retry, or reports an
+// error.
+void ReceivingSide::finishFile(const std::shared_ptr<IncomingFile>& f) {
+    if (!f->received || f->openPieces > 0) return;
+    if (f->error.empty() && !f->verified) {
+        if (f->phase == 0) return retryQueue_.push_back(f->index);
+        f->error = "its content did not match its checksum, twice";
+    }
+    if (!f->error.empty()) return reportFileError(f->version.path, f->error);
+    // --checksum with a kind that the catalogue lacks: only now is it known whether the content changed.
+    const auto existing = parameters_.store->catalogue().find(parameters_.volume->name, f->version.path);
+    if (parameters_.options.checksum && existing && existing->kind == Kind::File &&
+        existing->size == f->size && existing->digest == f->version.digest)
+        return updateAttributes(f->index, existing);
+    if (parameters_.options.delayUpdates)
+        delayedFiles_.push_back({f->index, f->version, std::move(f->pieces)});
+    else commit({f->index, f->version, std::move(f->pieces)}, std::move(f->pieceBuffer), f);
+}
+
+// Stores the version that makes the file visible. `contentOwner` holds the memory lease of `content` until
+// the response has come.
+void ReceivingSide::commit(StoredFile file, std::string content, std::shared_ptr<void> contentOwner) {
+    if (!file.pieces.empty()) {
+        file.version.layout = Layout::Manifest;
+        content = catalogue::encode(file.pieces);
+    }
+    const auto& path = file.version.path;
+    scheduleBackup(parameters_.store->catalogue().find(parameters_.volume->name, path), path);
     const auto ticket = ++nextTicket_;
-    open_[ticket] = agreed_.store->writeVersion(
-        *agreed_.volume, whole.version, std::make_shared<const std::string>(std::move(content)),
-        track<WriteResult>(ticket, [this, path, index = whole.index, keep](WriteResult r) {
-            if (!r.fine) tell(path, r.words);
-            else if (agreed_.options.removeSource) succeeded(index);
+    openRequests_[ticket] = parameters_.store->writeVersion(
+        *parameters_.volume, file.version, std::make_shared<const std::string>(std::move(content)),
+        trackRequest<WriteResult>(ticket, [this, path, index = file.index, contentOwner](WriteResult r) {
+            if (!r.fine) reportFileError(path, r.words);
+            else if (parameters_.options.removeSource) reportSuccess(index);
         }));
 }
 
-// --delay-updates: all are shown once the last has come.
-bool Receiving::showDelayed() {
-    while (!delayed_.empty() && open_.size() < allowed()) {
-        auto whole = std::move(delayed_.front());
-        delayed_.pop_front();
-        commit(std::move(whole), "", nullptr);
+// --delay-updates: commits all files after the last one has come. Returns true once none is left.
+bool ReceivingSide::commitDelayed() {
+    while (!delayedFiles_.empty() && openRequests_.size() < maxOpenRequests()) {
+        auto file = std::move(delayedFiles_.front());
+        delayedFiles_.pop_front();
+        commit(std::move(file), "", nullptr);
     }
-    return delayed_.empty();
+    return delayedFiles_.empty();
 }
 
-// ---------------------------------------------------------------- rounds
-// First the files, then those whose checksum failed, then (nothing here) delayed renames. A round's end is
-// sent once nothing of it is open, so that what the client prints last is true.
-bool Receiving::rounds() {
-    if (!todo_.empty() || preparing_) return false;
+// ---------------------------------------------------------------- phases
+// Phases of the protocol: first the files, then those whose checksum did not match, then delayed updates. The
+// end of a phase is sent only when no write of it is open, so that the client's final messages are true.
+bool ReceivingSide::advancePhase() {
+    if (!requestQueue_.empty() || preparingBasis_) return false;
     if (doneSent_ == 0) {
-        out_.put(channel_.out(), kDone);
+        indexOut_.put(channel_.output(), kDone);
         doneSent_ = 1;
         return true;
     }
-    if (doneSeen_ < doneSent_ || current_ || !quiet()) return false;
+    if (doneReceived_ < doneSent_ || currentFile_ || !writesDone()) return false;
     if (doneSent_ < 3) {
-        if (doneSent_ == 1 && !redo_.empty()) {
-            todo_.assign(redo_.begin(), redo_.end());
-            redo_.clear();
-            request();
-            if (!todo_.empty()) return false;
+        if (doneSent_ == 1 && !retryQueue_.empty()) {
+            requestQueue_.assign(retryQueue_.begin(), retryQueue_.end());
+            retryQueue_.clear();
+            requestFiles();
+            if (!requestQueue_.empty()) return false;
         }
-        if (doneSent_ == 2 && (!showDelayed() || !quiet())) return false;
-        out_.put(channel_.out(), kDone);
+        if (doneSent_ == 2 && (!commitDelayed() || !writesDone())) return false;
+        indexOut_.put(channel_.output(), kDone);
         ++doneSent_;
         return true;
     }
-    if (untold_ > 0) {
-        const auto n = std::to_string(std::exchange(untold_, 0));
-        channel_.message(Message::ErrorXfer, "spokewheel: " + n + " more files were not stored\n");
+    if (unreportedErrors_ > 0) {
+        const auto n = std::to_string(std::exchange(unreportedErrors_, 0));
+        channel_.sendMessage(Message::ErrorXfer, "spokewheel: " + n + " more files were not stored\n");
     }
-    if (agreed_.options.remove && agreed_.options.deleteStats && agreed_.protocol >= 31) {
-        out_.put(channel_.out(), kDeleteStats);
-        for (const int n : {deleted_, deletedDirectories_, 0, 0, 0}) putVarint(channel_.out(), n);
+    if (parameters_.options.remove && parameters_.options.deleteStats && parameters_.protocol >= 31) {
+        indexOut_.put(channel_.output(), kDeleteStats);
+        for (const int n : {deleted_, deletedDirectories_, 0, 0, 0}) putVarint(channel_.output(), n);
     }
-    out_.put(channel_.out(), kDone);
-    state_ = agreed_.protocol >= 31 ? State::Goodbye : State::Over;
-    return state_ != State::Over;
+    indexOut_.put(channel_.output(), kDone);
+    state_ = parameters_.protocol >= 31 ? State::Goodbye : State::Finished;
+    return state_ != State::Finished;
 }
 
-bool Receiving::goodbye() {
+bool ReceivingSide::goodbye() {
     Reader r(channel_.input());
-    auto coder = in_;
+    auto coder = indexIn_;
     const auto index = coder.get(r);
     if (!r.enough()) return false;
-    if (r.bad() || index != kDone) return broken("unexpected index at the end");
-    in_ = coder;
-    channel_.took(r.used());
-    out_.put(channel_.out(), kDone);
-    state_ = State::Over;
+    if (r.bad() || index != kDone) return fail("unexpected index at the end");
+    indexIn_ = coder;
+    channel_.consume(r.used());
+    indexOut_.put(channel_.output(), kDone);
+    state_ = State::Finished;
     return false;
 }
 
--- a/src/fronts/rsync/receiving.hpp
+++ b/src/fronts/rsync/receiving.hpp
@@ -1,5 +1,6 @@
-// The half of a session that takes files from a client (it pushes): list, what is wanted, content in pieces
-// to the nodes, versions shown whole or not at all, deletion, the rounds and the goodbye.
+// The receiving side of a session, for uploads: reads the file list, decides which files to request, stores
+// their content in pieces on the nodes and commits each file as a new version, all of it or nothing; deletes
+// extraneous files; ends the phases of the protocol. Does the work of rsync's generator and receiver.
 #pragma once
 
 #include <deque>
@@ -11,115 +12,118 @@
 #include "fronts/rsync/basis.hpp"
 #include "fronts/rsync/context.hpp"
 #include "fronts/rsync/decide_deletions.hpp"
-#include "fronts/rsync/decide_wanted.hpp"
+#include "fronts/rsync/decide_file_action.hpp"
 #include "fronts/rsync/incoming.hpp"
 #include "fronts/rsync/listing.hpp"
 
 namespace spokewheel::fronts::rsync {
 
-class Receiving : public Half, public std::enable_shared_from_this<Receiving> {
+class ReceivingSide : public TransferSide, public std::enable_shared_from_this<ReceivingSide> {
   public:
-    Receiving(Context& context, Agreed agreed, Channel& channel, std::function<void()> wake);
-    ~Receiving() override;
+    ReceivingSide(Context& context, TransferParameters parameters, Channel& channel,
+                  std::function<void()> wake);
+    ~ReceivingSide() override;
     bool advance() override;
-    void beside(const wire::rsync::Demux::Beside& message) override;
-    bool working() const override {
-        return !open_.empty() || preparing_ || state_ == State::Sort || state_ == State::Plan;
+    void onMessage(const wire::rsync::Demux::Beside& message) override;
+    bool hasPendingWork() const override {
+        return !openRequests_.empty() || preparingBasis_ || state_ == State::Sort || state_ == State::Plan;
     }
-    Waits waits() const override;
+    WaitReason waitReason() const override;
 
   private:
-    enum class State { Filter, List, Sort, Plan, Transfer, Goodbye, Over };
-    // A small write that is not content: a directory, a deletion, new times of known content.
-    struct Chore {
+    enum class State { Filter, List, Sort, Plan, Transfer, Goodbye, Finished };
+    // A version written without transferring content: a directory, a deletion, a backup, or new attributes.
+    struct MetadataWrite {
         catalogue::FileVersion version;
-        catalogue::Shown contentOf;  // metadata only: whose content the version keeps
-        std::string removed;         // a deletion: what the client is told
+        catalogue::Shown contentSource;  // the version whose content it keeps; null if it has none
+        std::string deletedName;         // of a deletion: the name reported to the client
     };
 
     bool readFilter();
     bool readList();
-    bool sort();
+    bool sortStep();
     void startPlan();
-    bool plan();
+    bool planStep();
     void planEntry(std::int32_t index, const std::string& path);
     void planDeletions();
     std::string pathOf(const wire::rsync::FileEntry& entry) const;
-    catalogue::FileVersion draft(const wire::rsync::FileEntry& entry, const std::string& path) const;
+    catalogue::FileVersion draftVersion(const wire::rsync::FileEntry& entry, const std::string& path) const;
 
-    bool request();  // the generator's part: asks the client for files
-    void requestOne(std::int32_t index, const wire::rsync::BlockSums* sums);
-    bool read();  // the receiver's part: takes what the client sends
-    bool readHead();
+    bool requestFiles();  // rsync's generator: requests files from the client
+    void requestFile(std::int32_t index, const wire::rsync::BlockSums* sums);
+    bool readFiles();  // rsync's receiver: processes what the client sends
+    bool readItemHeader();
     bool readContent();
-    bool startPiece();
+    bool reservePiece();
     bool copyBlock();
-    void flushPiece(const std::shared_ptr<Incoming>& file);
-    void putPiece(const std::shared_ptr<Incoming>& file, std::size_t i,
-                  std::shared_ptr<const std::string> body, std::shared_ptr<host::Memory::Lease> lease);
-    void ended(std::string_view sum);
-    void settle(const std::shared_ptr<Incoming>& file);
-    // A file of which all is stored but what shows it.
-    struct Whole {
+    void storeFullPieces(const std::shared_ptr<IncomingFile>& file);
+    void storePiece(const std::shared_ptr<IncomingFile>& file, std::size_t i,
+                    std::shared_ptr<const std::string> body, std::shared_ptr<host::Memory::Lease> lease);
+    void finishContent(std::string_view sum);
+    void finishFile(const std::shared_ptr<IncomingFile>& file);
+    // A file whose pieces are stored, before its version is committed.
+    struct StoredFile {
         std::int32_t index = 0;
         catalogue::FileVersion version;
         std::vector<catalogue::Piece> pieces;
     };
-    void commit(Whole whole, std::string content, std::shared_ptr<void> keep);
-    bool showDelayed();
+    void commit(StoredFile file, std::string content, std::shared_ptr<void> contentOwner);
+    bool commitDelayed();
     std::set<std::string> emptyDirectories() const;
-    std::string backupOf(const std::string& path) const;
-    void keepBackup(const catalogue::Shown& shown, const std::string& path);
-    bool inBackups(const std::string& path) const;
-    bool isBackup(const std::string& path) const;
-    void sameAsShown(std::int32_t index, const catalogue::Shown& shown);
-    void succeeded(std::int32_t index);
-    bool chores();
-    void runChore(std::shared_ptr<Chore> chore);
-    void writeChore(const std::shared_ptr<Chore>& chore, std::shared_ptr<const std::string> body);
-    bool rounds();
+    std::string backupPathFor(const std::string& path) const;
+    void scheduleBackup(const catalogue::Shown& existing, const std::string& path);
+    bool inBackupDirectory(const std::string& path) const;
+    bool hasBackupSuffix(const std::string& path) const;
+    void updateAttributes(std::int32_t index, const catalogue::Shown& existing);
+    void reportSuccess(std::int32_t index);
+    bool runMetadataWrites();
+    void runMetadataWrite(std::shared_ptr<MetadataWrite> write);
+    void storeMetadataWrite(const std::shared_ptr<MetadataWrite>& write,
+                            std::shared_ptr<const std::string> body);
+    bool advancePhase();
     bool goodbye();
-    bool quiet() const { return open_.empty() && chores_.empty(); }
-    void tell(const std::string& path, const std::string& words);
-    bool broken(std::string why);
-    std::size_t allowed() const;
+    bool writesDone() const { return openRequests_.empty() && metadataWrites_.empty(); }
+    void reportFileError(const std::string& path, const std::string& reason);
+    bool fail(std::string why);
+    std::size_t maxOpenRequests() const;
     template <class Result, class Then>
-    std::function<void(Result)> track(std::uint64_t ticket, Then then);
+    std::function<void(Result)> trackRequest(std::uint64_t ticket, Then then);
 
     Context& context_;
-    Agreed agreed_;
+    TransferParameters parameters_;
     Channel& channel_;
     State state_ = State::Filter;
     wire::rsync::Filter filter_;
     ModulePath target_;
-    bool renamed_ = false;                      // the one file takes the target's name
+    bool targetIsFile_ = false;                 // a single file is uploaded under the target's name
     std::vector<wire::rsync::FileEntry> list_;  // in the client's order until it is sorted
     wire::rsync::ListSorter sorter_;
     std::vector<wire::rsync::FileEntry> sorted_;
-    std::size_t kept_ = 0, planned_ = 0;
+    std::size_t keptCount_ = 0, plannedCount_ = 0;  // entries sorted and not dropped; entries planned
     std::unique_ptr<wire::rsync::ListReader> listReader_;
-    wire::rsync::IndexCoder in_, out_;
-    wire::rsync::TokenReader tokens_;
+    wire::rsync::IndexCoder indexIn_, indexOut_;
+    wire::rsync::TokenReader tokenReader_;
 
-    std::deque<std::int32_t> todo_;
-    std::set<std::int32_t> asked_;
-    std::vector<std::int32_t> redo_;
-    std::map<std::int32_t, std::shared_ptr<Basis>> bases_;  // of files asked for
-    std::shared_ptr<Basis> preparing_;
-    std::shared_ptr<Incoming> current_;
-    bool wantsSum_ = false;
-    std::int32_t copying_ = -1;  // a block that is being copied from the basis
-    std::size_t copied_ = 0;
+    std::deque<std::int32_t> requestQueue_;
+    std::set<std::int32_t> requested_;
+    std::vector<std::int32_t> retryQueue_;
+    std::map<std::int32_t, std::shared_ptr<Basis>> basisByIndex_;  // of requested files
+    std::shared_ptr<Basis> preparingBasis_;
+    std::shared_ptr<IncomingFile> currentFile_;
+    bool expectsChecksum_ = false;
+    std::int32_t copyingBlock_ = -1;  // block being copied from the basis, or -1
+    std::size_t copiedLength_ = 0;
     std::string copiedBytes_;
-    std::deque<std::shared_ptr<Chore>> chores_;
-    std::map<std::uint64_t, std::string> open_;  // tickets of requests without an answer, with their ids
+    std::deque<std::shared_ptr<MetadataWrite>> metadataWrites_;
+    std::map<std::uint64_t, std::string> openRequests_;  // store requests without a response: ids by ticket
     std::uint64_t nextTicket_ = 0;
-    std::deque<Whole> delayed_;
+    std::deque<StoredFile> delayedFiles_;
     std::string backupDir_;
-    std::size_t choresOpen_ = 0;
-    std::size_t untold_ = 0;  // faults that the client was not told by name
-    int doneSent_ = 0, doneSeen_ = 0, deleted_ = 0, deletedDirectories_ = 0;
-    bool moving_ = false;
+    std::size_t openMetadataWrites_ = 0;
+    std::size_t unreportedErrors_ = 0;  // errors not sent to the client while its output was full
+    // Phase ends sent and received; deletion statistics.
+    int doneSent_ = 0, doneReceived_ = 0, deleted_ = 0, deletedDirectories_ = 0;
+    bool countedActive_ = false;
     std::vector<host::Memory::Lease> listLeases_;
 };
 
--- a/src/fronts/rsync/sending.cpp
+++ b/src/fronts/rsync/sending.cpp
@@ -10,28 +10,28 @@
 
 namespace {
 
-constexpr std::int32_t kMostBlocks = 1 << 18;  // of a file of 32 GiB in the largest blocks
-constexpr std::size_t kMostSums = 8 << 20;     // bytes of block sums that wait in one session
-constexpr std::size_t kMostNames = 1000000, kMostNameBytes = 32 << 20;
-constexpr int kGeneralError = 1;
-constexpr double kRetryMs = 20;
+constexpr std::int32_t kMaxBlocks = 1 << 18;   // a file of 32 GiB in blocks of the largest size
+constexpr std::size_t kMaxSumBytes = 8 << 20;  // block checksums held per session, in bytes
+constexpr std::size_t kMaxNames = 1000000, kMaxNameBytes = 32 << 20;
+constexpr int kIoErrorGeneral = 1;
+constexpr double kMemoryRetryMs = 20;
 
 }  // namespace
 
-const char* nameOf(Waits waits) {
-    switch (waits) {
-        case Waits::Nothing:
+const char* nameOf(WaitReason reason) {
+    switch (reason) {
+        case WaitReason::None:
             break;
-        case Waits::Client:
-            return "the client";
-        case Waits::Room:
-            return "room to the client";
-        case Waits::Answer:
-            return "an answer";
-        case Waits::Memory:
+        case WaitReason::Client:
+            return "client input";
+        case WaitReason::OutputSpace:
+            return "space in the output queue";
+        case WaitReason::StoreResponse:
+            return "storage response";
+        case WaitReason::Memory:
             return "memory";
-        case Waits::Timer:
-            return "a timer";
+        case WaitReason::Timer:
+            return "timer";
     }
     return "nothing";
 }
@@ -48,19 +48,19 @@
     return {reinterpret_cast<char*>(out), n};
 }
 
-std::string sumOf(const std::string& hex) {
+std::string checksumFromHex(const std::string& hex) {
     std::string out;
     for (std::size_t i = 16; hex.size() == 32 && i-- > 0;)
         out += static_cast<char>(std::stoi(hex.substr(i * 2, 2), nullptr, 16));
     return out;
 }
 
-wire::rsync::ListForm listForm(const Agreed& agreed) {
-    const auto& o = agreed.options;
+wire::rsync::ListForm listForm(const TransferParameters& parameters) {
+    const auto& o = parameters.options;
     wire::rsync::ListForm form;
-    form.protocol = agreed.protocol;
-    form.varintFlags = agreed.flags & kVarintFlags;
-    form.safeEnd = agreed.flags & kSafeList;
+    form.protocol = parameters.protocol;
+    form.varintFlags = parameters.compatFlags & kVarintFlags;
+    form.safeEnd = parameters.compatFlags & kSafeList;
     form.uids = o.uids;
     form.gids = o.gids;
     form.idNames = !o.numericIds;
@@ -68,395 +68,406 @@
     form.devices = o.devices;
     form.specials = o.specials;
     form.hardLinks = o.hardLinks;
-    form.sumBytes = o.checksum ? sizeOf(agreed.listSums) : 0;
+    form.sumBytes = o.checksum ? sizeOf(parameters.listChecksumKind) : 0;
     return form;
 }
 
-FilterStep readFilterRule(Channel& channel, Filter& filter, std::string& fault) {
+FilterRuleResult readFilterRule(Channel& channel, Filter& filter, std::string& error) {
     Reader r(channel.input());
     const auto n = r.u32();
     if (r.enough() && n > kMostName + 16) {
-        fault = "filter rule too long";
-        return FilterStep::Bad;
+        error = "filter rule too long";
+        return FilterRuleResult::Invalid;
     }
     const auto rule = r.bytes(n);
-    if (!r.enough()) return FilterStep::More;
-    fault = n ? filter.add(rule) : "";
-    channel.took(r.used());
-    if (fault.empty()) return n ? FilterStep::Rule : FilterStep::End;
-    fault = "not supported: " + fault;
-    return FilterStep::Bad;
+    if (!r.enough()) return FilterRuleResult::NeedInput;
+    error = n ? filter.add(rule) : "";
+    channel.consume(r.used());
+    if (error.empty()) return n ? FilterRuleResult::Rule : FilterRuleResult::End;
+    error = "not supported: " + error;
+    return FilterRuleResult::Invalid;
 }
 
-Sending::Sending(Context& context, Agreed agreed, Channel& channel, std::function<void()> wake)
-    : Half(std::move(wake)),
+SendingSide::SendingSide(Context& context, TransferParameters parameters, Channel& channel,
+                         std::function<void()> wake)
+    : TransferSide(std::move(wake)),
       context_(context),
-      agreed_(std::move(agreed)),
+      parameters_(std::move(parameters)),
       channel_(channel),
       filter_(wire::rsync::Filter::Side::Sender),
-      tokens_(agreed_.options.compress, agreed_.options.compressLevel),
-      throttle_(agreed_.options.bytesPerS) {
-    for (const auto& p : agreed_.options.paths) paths_.push_back(parseModulePath(agreed_.volume->name, p));
+      tokenWriter_(parameters_.options.compress, parameters_.options.compressLevel),
+      throttle_(parameters_.options.bytesPerS) {
+    for (const auto& p : parameters_.options.paths)
+        paths_.push_back(parseModulePath(parameters_.volume->name, p));
 }
 
-Sending::~Sending() {
-    if (moving_) --context_.moving;
-    for (const auto& job : jobs_)
-        for (const auto& [i, slot] : job->slots)
-            if (!slot.ready) agreed_.store->abandon(slot.request);
+SendingSide::~SendingSide() {
+    if (countedActive_) --context_.activeTransfers;
+    for (const auto& request : requests_)
+        for (const auto& [i, read] : request->reads)
+            if (!read.ready) parameters_.store->abandon(read.requestId);
 }
 
-bool Sending::broken(std::string why) {
-    fault_ = std::move(why);
-    state_ = State::Over;
+bool SendingSide::fail(std::string why) {
+    error_ = std::move(why);
+    state_ = State::Finished;
     return false;
 }
 
-bool Sending::advance() {
-    turn_ = false;
+bool SendingSide::advance() {
+    resumeScheduled_ = false;
     for (bool more = true; more;) {
         switch (state_) {
             case State::Filter:
                 more = readFilter();
                 break;
-            case State::Names:
-                more = readNames();
+            case State::FilesFrom:
+                more = readFilesFrom();
                 break;
-            case State::Wait:
-                more = mayList();
+            case State::WaitForMemory:
+                more = reserveListMemory();
                 break;
-            case State::Build:
+            case State::BuildList:
                 more = buildList();
                 break;
-            case State::List:
+            case State::SendList:
                 more = writeList();
                 break;
             case State::Serve: {
                 const bool read = readRequests();
-                fetch();
-                // What was passed on makes room to ask for more. A delta passes many pieces without ever
-                // filling the queue to the client, so that no other happening would call this again.
-                const auto before = passed_;
-                const bool wrote = state_ == State::Serve && serve();
-                more = read || wrote || passed_ != before;
+                readAhead();
+                // Written pieces make room for more reads, so the loop runs again. A delta can consume many
+                // pieces without filling the output queue; no other event would then call advance().
+                const auto before = piecesWritten_;
+                const bool wrote = state_ == State::Serve && writeResponses();
+                more = read || wrote || piecesWritten_ != before;
                 break;
             }
             case State::Goodbye:
                 more = goodbye();
                 break;
-            case State::Over:
+            case State::Finished:
                 more = false;
         }
     }
     channel_.flush();
-    return state_ != State::Over;
+    return state_ != State::Finished;
 }
 
-Waits Sending::waits() const {
+WaitReason SendingSide::waitReason() const {
     switch (state_) {
         case State::Filter:
-        case State::Names:
+        case State::FilesFrom:
         case State::Goodbye:
-            return Waits::Client;
-        case State::Wait:
-            return retry_ ? Waits::Memory : Waits::Nothing;
-        case State::Build:
-            return turn_ ? Waits::Timer : Waits::Nothing;
-        case State::List:
-            return channel_.blocked() ? Waits::Room : turn_ ? Waits::Timer : Waits::Nothing;
+            return WaitReason::Client;
+        case State::WaitForMemory:
+            return memoryRetryTimer_ ? WaitReason::Memory : WaitReason::None;
+        case State::BuildList:
+            return resumeScheduled_ ? WaitReason::Timer : WaitReason::None;
+        case State::SendList:
+            return channel_.blocked() ? WaitReason::OutputSpace
+                   : resumeScheduled_ ? WaitReason::Timer
+                                      : WaitReason::None;
         case State::Serve: {
-            if (channel_.blocked()) return Waits::Room;
-            if (pause_) return Waits::Timer;
-            if (jobs_.empty()) return Waits::Client;
-            // The first job stands still only for content that was asked for and has not come.
-            const auto& job = *jobs_.front();
-            const auto slot = job.slots.find(job.wantsManifest ? 0 : job.sent);
-            return slot != job.slots.end() && !slot->second.ready ? Waits::Answer : Waits::Nothing;
+            if (channel_.blocked()) return WaitReason::OutputSpace;
+            if (throttleTimer_) return WaitReason::Timer;
+            if (requests_.empty()) return WaitReason::Client;
+            // The first request can only wait for content that is being read.
+            const auto& request = *requests_.front();
+            const auto read = request.reads.find(request.needsManifest ? 0 : request.piecesWritten);
+            return read != request.reads.end() && !read->second.ready ? WaitReason::StoreResponse
+                                                                      : WaitReason::None;
         }
-        case State::Over:
+        case State::Finished:
             break;
     }
-    return Waits::Nothing;
+    return WaitReason::None;
 }
 
-bool Sending::readFilter() {
+bool SendingSide::readFilter() {
     std::string why;
     switch (readFilterRule(channel_, filter_, why)) {
-        case FilterStep::More:
+        case FilterRuleResult::NeedInput:
             return false;
-        case FilterStep::Bad:
-            return broken(std::move(why));
-        case FilterStep::End:
-            state_ = agreed_.options.filesFrom ? State::Names : State::Wait;
-            if (state_ == State::Names && agreed_.protocol < 31) channel_.unframe();
+        case FilterRuleResult::Invalid:
+            return fail(std::move(why));
+        case FilterRuleResult::End:
+            state_ = parameters_.options.filesFrom ? State::FilesFrom : State::WaitForMemory;
+            if (state_ == State::FilesFrom && parameters_.protocol < 31) channel_.suspendMultiplexIn();
             break;
-        case FilterStep::Rule:
+        case FilterRuleResult::Rule:
             break;
     }
     return true;
 }
 
-// Names below the one argument, each ended by a NUL (or a line end), an empty one last.
-bool Sending::readNames() {
+// Reads the names of --files-from, relative to the one path argument; each ends with a NUL (or a line end),
+// and an empty one ends the list.
+bool SendingSide::readFilesFrom() {
     const auto in = channel_.input();
-    const auto end = agreed_.options.from0 ? in.find('\0') : in.find_first_of(std::string_view("\0\n\r", 3));
-    if (end == in.npos) return in.size() > kMostName ? broken("name in --files-from too long") : false;
+    const auto end =
+        parameters_.options.from0 ? in.find('\0') : in.find_first_of(std::string_view("\0\n\r", 3));
+    if (end == in.npos) return in.size() > kMostName ? fail("name in --files-from too long") : false;
     const std::string name(in.substr(0, end));
-    channel_.took(end + 1);
+    channel_.consume(end + 1);
     if (!name.empty()) {
         nameBytes_ += name.size();
-        if (names_.size() >= kMostNames || nameBytes_ > kMostNameBytes)
-            return broken("too many names in --files-from");
+        if (names_.size() >= kMaxNames || nameBytes_ > kMaxNameBytes)
+            return fail("too many names in --files-from");
         names_.push_back(name);
         return true;
     }
-    if (agreed_.protocol < 31) channel_.reframe();
+    if (parameters_.protocol < 31) channel_.resumeMultiplexIn();
     const auto base = paths_.empty() ? ModulePath() : paths_.front();
     paths_.clear();
     for (const auto& n : names_) {
         auto p = parseModulePath("", n);
         p.trailingSlash = n.back() == '/';
-        // Names in the list are those that the client gave: what it asked below is their base.
-        if (p.fault.empty() && !base.path.empty()) {
-            p.base += base.path.size() + (p.path.empty() ? 0 : 1);
+        // The list shows the names as the client gave them, so the path argument becomes their base.
+        if (p.error.empty() && !base.path.empty()) {
+            p.baseLength += base.path.size() + (p.path.empty() ? 0 : 1);
             p.path = base.path + (p.path.empty() ? "" : "/" + p.path);
         }
         paths_.push_back(std::move(p));
     }
     names_.clear();
-    state_ = State::Wait;
+    state_ = State::WaitForMemory;
     return true;
 }
 
-// Lists are the largest thing a session holds: each takes its part of the memory, and waits for it.
-bool Sending::mayList() {
+// Reserves memory for the file list, the largest thing a session holds; retries until there is enough.
+bool SendingSide::reserveListMemory() {
     std::uint64_t entries = paths_.size();
-    if (agreed_.options.recurse)
+    if (parameters_.options.recurse)
         for (const auto& p : paths_)
-            entries += agreed_.store->catalogue().countBelow(agreed_.volume->name, p.path);
+            entries += parameters_.store->catalogue().countBelow(parameters_.volume->name, p.path);
     const auto bytes = kListEntryBytes * std::min<std::uint64_t>(entries, context_.settings.listEntries);
     if (!host::mayKeepList(bytes, context_.memory.free(), context_.memory.used())) {
-        retry_ = context_.after(kRetryMs, [wake = wake_] { wake(); });
+        memoryRetryTimer_ = context_.callAfter(kMemoryRetryMs, [wake = wake_] { wake(); });
         return false;
     }
-    retry_.reset();
+    memoryRetryTimer_.reset();
     listLease_ = context_.memory.take(bytes);
-    builder_ = std::make_unique<ListBuilder>(agreed_.store->catalogue(), agreed_.volume->name,
-                                             agreed_.options, paths_, filter_, context_.settings.listEntries);
-    state_ = State::Build;
+    builder_ =
+        std::make_unique<ListBuilder>(parameters_.store->catalogue(), parameters_.volume->name,
+                                      parameters_.options, paths_, filter_, context_.settings.listEntries);
+    state_ = State::BuildList;
     return true;
 }
 
-// Slice by slice, so that other sessions go on meanwhile.
-bool Sending::buildList() {
-    if (!builder_->step(context_.listSlice)) return nextTurn();
+// Runs in slices, so that other sessions can proceed in between.
+bool SendingSide::buildList() {
+    if (!builder_->step(context_.listSlice)) return resumeNextTurn();
     listing_ = builder_->take();
     builder_.reset();
     startList();
     return true;
 }
 
-void Sending::startList() {
-    // A list that may lack files must not make a client delete its own.
-    if (!context_.complete()) listing_.errors.emplace_back("not all storage nodes have been read yet");
-    for (const auto& fault : listing_.errors) {
-        ioError_ = kGeneralError;
-        channel_.message(Message::ErrorXfer, "spokewheel: " + fault + "\n");
+void SendingSide::startList() {
+    // The error keeps a client from deleting files that an incomplete list lacks.
+    if (!context_.catalogueComplete())
+        listing_.errors.emplace_back("not all storage nodes have been read yet");
+    for (const auto& error : listing_.errors) {
+        ioError_ = kIoErrorGeneral;
+        channel_.sendMessage(Message::ErrorXfer, "spokewheel: " + error + "\n");
     }
-    listWriter_ = std::make_unique<ListWriter>(listForm(agreed_));
-    state_ = State::List;
+    listWriter_ = std::make_unique<ListWriter>(listForm(parameters_));
+    state_ = State::SendList;
 }
 
-bool Sending::writeList() {
-    for (std::size_t n = 0; listAt_ < listing_.files.size(); ++listAt_, ++n) {
+bool SendingSide::writeList() {
+    for (std::size_t n = 0; nextListEntry_ < listing_.files.size(); ++nextListEntry_, ++n) {
         if (n == context_.listSlice) {
             channel_.flush();
-            return nextTurn();
+            return resumeNextTurn();
         }
         if (channel_.blocked()) {
             channel_.flush();
             if (channel_.blocked()) return false;
         }
-        listWriter_->put(channel_.out(), listing_.files[listAt_].entry);
+        listWriter_->put(channel_.output(), listing_.files[nextListEntry_].entry);
     }
-    listWriter_->end(channel_.out(), ioError_);
+    listWriter_->end(channel_.output(), ioError_);
     listWriter_.reset();
-    // The client ends where it was told of nothing at all; so does this side.
+    // The client ends the session after an empty list.
     if (listing_.files.empty()) {
-        state_ = State::Over;
+        state_ = State::Finished;
         return false;
     }
-    ++context_.moving;
-    moving_ = true;
+    ++context_.activeTransfers;
+    countedActive_ = true;
     state_ = State::Serve;
     return true;
 }
 
-bool Sending::readSums(Job& job) {
-    const auto each = 4 + static_cast<std::size_t>(job.sums.head.sumBytes);
+bool SendingSide::readSums(ClientRequest& request) {
+    const auto bytesPerBlock = 4 + static_cast<std::size_t>(request.sums.head.sumBytes);
     const auto in = channel_.input();
-    const auto n = std::min<std::size_t>(in.size() / each, static_cast<std::size_t>(sumsLeft_));
+    const auto n = std::min<std::size_t>(in.size() / bytesPerBlock, static_cast<std::size_t>(sumsLeft_));
     for (std::size_t i = 0; i < n; ++i) {
-        Reader r(in.substr(i * each, each));
-        job.sums.rolling.push_back(r.u32());
-        job.sums.strong += r.bytes(each - 4);
+        Reader r(in.substr(i * bytesPerBlock, bytesPerBlock));
+        request.sums.rolling.push_back(r.u32());
+        request.sums.strong += r.bytes(bytesPerBlock - 4);
     }
-    channel_.took(n * each);
+    channel_.consume(n * bytesPerBlock);
     sumsLeft_ -= static_cast<std::int32_t>(n);
     return sumsLeft_ == 0;
 }
 
-// Takes the client's requests while few wait, so that a client which asks for a million files costs no more
-// memory than one that asks for a handful.
-bool Sending::readRequests() {
+// Reads the client's requests, but only up to a limit of unanswered ones, so that a client that requests a
+// million files costs no more memory than one that requests a few.
+bool SendingSide::readRequests() {
     bool any = false;
-    while (state_ == State::Serve && rounds_ < 3) {
-        if (summing_) {
-            if (!readSums(*summing_)) break;
-            jobs_.push_back(std::move(summing_));
+    while (state_ == State::Serve && phasesSeen_ < 3) {
+        if (awaitingSums_) {
+            if (!readSums(*awaitingSums_)) break;
+            requests_.push_back(std::move(awaitingSums_));
             any = true;
         }
-        if (jobs_.size() >= context_.settings.filesAhead || channel_.input().empty()) break;
-        if (sumsHeld_ > kMostSums && !jobs_.empty()) break;
-        auto coder = in_;
+        if (requests_.size() >= context_.settings.filesAhead || channel_.input().empty()) break;
+        if (heldSumBytes_ > kMaxSumBytes && !requests_.empty()) break;
+        auto coder = indexIn_;
         Reader r(channel_.input());
-        auto job = std::make_shared<Job>();
-        job->index = coder.get(r);
+        auto request = std::make_shared<ClientRequest>();
+        request->index = coder.get(r);
         if (!r.enough()) break;
-        if (r.bad()) return broken(r.why());
-        if (job->index == kDone) {
-            job->marker = job->done = true;
-            ++rounds_;
-        } else if (job->index == kDeleteStats) {
-            job->marker = true;
-            for (int i = 0; i < 5; ++i) putVarint(job->echo, r.varint());
+        if (r.bad()) return fail(r.why());
+        if (request->index == kDone) {
+            request->marker = request->done = true;
+            ++phasesSeen_;
+        } else if (request->index == kDeleteStats) {
+            request->marker = true;
+            for (int i = 0; i < 5; ++i) putVarint(request->echo, r.varint());
         } else {
-            if (job->index < 0 || static_cast<std::size_t>(job->index) >= listing_.files.size())
-                return broken("file index " + std::to_string(job->index) + " out of range");
-            job->flags = r.u16();
-            if (job->flags & kBasisFollows) job->extras += static_cast<char>(r.byte());
-            if (job->flags & kNameFollows) putVstring(job->extras, r.vstring(kMostName));
-            job->transfer = job->flags & kTransfer;
-            if (job->transfer && !agreed_.options.dryRun) job->sums.head = getSumHead(r);
+            if (request->index < 0 || static_cast<std::size_t>(request->index) >= listing_.files.size())
+                return fail("file index " + std::to_string(request->index) + " out of range");
+            request->flags = r.u16();
+            if (request->flags & kItemBasisTypeFollows) request->echoedFields += static_cast<char>(r.byte());
+            if (request->flags & kItemNameFollows) putVstring(request->echoedFields, r.vstring(kMostName));
+            request->transfer = request->flags & kItemTransfer;
+            if (request->transfer && !parameters_.options.dryRun) request->sums.head = getSumHead(r);
         }
-        if (r.bad()) return broken(r.why());
+        if (r.bad()) return fail(r.why());
         if (!r.enough()) break;
-        in_ = coder;
-        channel_.took(r.used());
+        indexIn_ = coder;
+        channel_.consume(r.used());
         any = true;
-        if (job->marker) {
-            jobs_.push_back(std::move(job));
+        if (request->marker) {
+            requests_.push_back(std::move(request));
             continue;
         }
-        if (job->sums.head.count > kMostBlocks) return broken("too many blocks for one file");
-        prepare(*job);
-        sumsLeft_ = job->sums.head.count;
-        job->sumBytes = static_cast<std::size_t>(sumsLeft_) * (4 + kSumBytes);
-        sumsHeld_ += job->sumBytes;
-        if (sumsLeft_ > 0) summing_ = std::move(job);
-        else jobs_.push_back(std::move(job));
+        if (request->sums.head.count > kMaxBlocks) return fail("too many blocks for one file");
+        preparePieces(*request);
+        sumsLeft_ = request->sums.head.count;
+        request->sumBytes = static_cast<std::size_t>(sumsLeft_) * (4 + kSumBytes);
+        heldSumBytes_ += request->sumBytes;
+        if (sumsLeft_ > 0) awaitingSums_ = std::move(request);
+        else requests_.push_back(std::move(request));
     }
     return any;
 }
 
-void Sending::prepare(Job& job) {
-    const auto& listed = listing_.files[static_cast<std::size_t>(job.index)];
-    job.version = listed.version;
-    if (agreed_.options.dryRun) job.transfer = false;
-    if (!job.transfer) return;
-    if (!job.version) job.fault = "is not a regular file";
-    else if (job.version->size > 0 && job.version->layout == catalogue::Layout::Manifest)
-        job.wantsManifest = true;
-    else if (job.version->size > 0)
-        job.pieces = {{job.version->shard, "o/" + job.version->id, job.version->size, job.version->digest}};
+void SendingSide::preparePieces(ClientRequest& request) {
+    const auto& listed = listing_.files[static_cast<std::size_t>(request.index)];
+    request.version = listed.version;
+    if (parameters_.options.dryRun) request.transfer = false;
+    if (!request.transfer) return;
+    if (!request.version) request.error = "is not a regular file";
+    else if (request.version->size > 0 && request.version->layout == catalogue::Layout::Manifest)
+        request.needsManifest = true;
+    else if (request.version->size > 0)
+        request.pieces = {{request.version->shard, "o/" + request.version->id, request.version->size,
+                           request.version->digest}};
 }
 
-// Asks for content ahead of what can be written, in the order in which it will be: within the window of the
-// session and its part of the memory.
-void Sending::fetch() {
+// Reads content ahead of the output, in output order, within the session's window and its share of memory.
+void SendingSide::readAhead() {
     const auto piece = context_.settings.pieceBytes;
-    for (const auto& job : jobs_) {
-        if (!job->transfer || !job->fault.empty()) continue;
+    for (const auto& request : requests_) {
+        if (!request->transfer || !request->error.empty()) continue;
         for (;;) {
-            const bool manifest = job->wantsManifest;
-            if (manifest ? job->asked > 0 : job->asked >= job->pieces.size()) break;
-            const auto most = host::piecesAhead(context_.memory.free(), context_.moving, piece,
-                                                context_.settings.piecesAhead);
-            // The first job may always have one piece out: what later ones hold ready waits for it, and the
-            // window may have shrunk below what they hold.
-            if (ahead_ >= most && !(job == jobs_.front() && job->slots.empty())) return;
-            ++ahead_;
-            ask(job, job->asked++);
+            const bool manifest = request->needsManifest;
+            if (manifest ? request->piecesRequested > 0 : request->piecesRequested >= request->pieces.size())
+                break;
+            const auto maxReads = host::piecesAhead(context_.memory.free(), context_.activeTransfers, piece,
+                                                    context_.settings.piecesAhead);
+            // The first request may always have one open read: later requests wait for it with the pieces
+            // that they hold, and the window may have shrunk below that number.
+            if (readsAhead_ >= maxReads && !(request == requests_.front() && request->reads.empty())) return;
+            ++readsAhead_;
+            requestPiece(request, request->piecesRequested++);
         }
     }
 }
 
-void Sending::ask(const JobPtr& job, std::size_t i) {
-    auto& slot = job->slots[i];
-    const auto& v = *job->version;
-    const std::weak_ptr<Job> weak = job;
+void SendingSide::requestPiece(const ClientRequestPtr& request, std::size_t i) {
+    auto& read = request->reads[i];
+    const auto& v = *request->version;
+    const std::weak_ptr<ClientRequest> weak = request;
     const auto done = [self = weak_from_this(), weak, i](ReadResult r) {
-        if (const auto s = self.lock()) s->onPiece(weak, i, std::move(r));
+        if (const auto s = self.lock()) s->onReadDone(weak, i, std::move(r));
     };
-    ++open_;
-    if (job->wantsManifest) {
-        slot.request =
-            agreed_.store->read(*agreed_.volume, v.shard, "o/" + v.id, kMostManifest, v.size, "", done);
+    ++openReads_;
+    if (request->needsManifest) {
+        read.requestId = parameters_.store->read(*parameters_.volume, v.shard, "o/" + v.id, kMostManifest,
+                                                 v.size, "", done);
         return;
     }
-    const auto& p = job->pieces[i];
-    slot.lease = context_.memory.take(p.size);
-    slot.request = agreed_.store->read(*agreed_.volume, p.shard, p.object, p.size, v.size, p.digest, done);
+    const auto& p = request->pieces[i];
+    read.lease = context_.memory.take(p.size);
+    read.requestId =
+        parameters_.store->read(*parameters_.volume, p.shard, p.object, p.size, v.size, p.digest, done);
 }
 
-void Sending::onPiece(const std::weak_ptr<Job>& weak, std::size_t i, ReadResult result) {
-    --open_;
-    const auto job = weak.lock();
-    if (!job) return;
-    auto& slot = job->slots[i];
-    if (result.fine && job->wantsManifest) {
-        const auto pieces = catalogue::decodePieces(result.body, job->version->size);
-        job->wantsManifest = false;
-        job->slots.clear();
-        job->asked = 0;
-        --ahead_;
-        if (pieces) job->pieces = *pieces;
-        else job->fault = "its list of pieces can't be read";
+void SendingSide::onReadDone(const std::weak_ptr<ClientRequest>& weak, std::size_t i, ReadResult result) {
+    --openReads_;
+    const auto request = weak.lock();
+    if (!request) return;
+    auto& read = request->reads[i];
+    if (result.fine && request->needsManifest) {
+        const auto pieces = catalogue::decodePieces(result.body, request->version->size);
+        request->needsManifest = false;
+        request->reads.clear();
+        request->piecesRequested = 0;
+        --readsAhead_;
+        if (pieces) request->pieces = *pieces;
+        else request->error = "its list of pieces can't be read";
     } else if (result.fine) {
-        slot.body = std::move(result.body);
-        slot.ready = true;
+        read.body = std::move(result.body);
+        read.ready = true;
     } else {
-        slot.ready = true;
-        if (job->fault.empty()) job->fault = result.words;
+        read.ready = true;
+        if (request->error.empty()) request->error = result.words;
     }
     wake_();
 }
 
-bool Sending::serve() {
+bool SendingSide::writeResponses() {
     bool any = false;
-    while (!jobs_.empty() && !channel_.blocked()) {
-        auto& job = *jobs_.front();
-        if (job.marker) {
-            if (job.done) {
-                out_.put(channel_.out(), kDone);
-                if (rounds_ >= 3 && jobs_.size() == 1) {
-                    const auto total = [this] {
+    while (!requests_.empty() && !channel_.blocked()) {
+        auto& request = *requests_.front();
+        if (request.marker) {
+            if (request.done) {
+                indexOut_.put(channel_.output(), kDone);
+                if (phasesSeen_ >= 3 && requests_.size() == 1) {
+                    const auto totalSize = [this] {
                         std::int64_t sum = 0;
                         for (const auto& f : listing_.files) sum += static_cast<std::int64_t>(f.entry.size);
                         return sum;
                     }();
-                    for (const auto x : {std::int64_t(0), static_cast<std::int64_t>(written_), total,
-                                         std::int64_t(1), std::int64_t(0)})
-                        putVarlong(channel_.out(), x, 3);
+                    for (const auto x : {std::int64_t(0), static_cast<std::int64_t>(contentBytesWritten_),
+                                         totalSize, std::int64_t(1), std::int64_t(0)})
+                        putVarlong(channel_.output(), x, 3);
                     state_ = State::Goodbye;
                 }
             } else {
-                out_.put(channel_.out(), kDeleteStats);
-                channel_.out() += job.echo;
+                indexOut_.put(channel_.output(), kDeleteStats);
+                channel_.output() += request.echo;
             }
-        } else if (!serveFront(job)) break;
-        sumsHeld_ -= jobs_.front()->sumBytes;
-        jobs_.pop_front();
+        } else if (!writeResponse(request)) break;
+        heldSumBytes_ -= requests_.front()->sumBytes;
+        requests_.pop_front();
         any = true;
         channel_.flush();
         if (state_ != State::Serve) break;
@@ -464,124 +475,129 @@
     return any;
 }
 
-// Writes of the first job what is there; true once it is complete.
-bool Sending::serveFront(Job& job) {
-    auto& out = channel_.out();
-    if (job.transfer && !job.headSent) {
-        if (!job.fault.empty()) {
-            refuse(job);
+// Writes the available part of the response to the first request; returns true once it is complete.
+bool SendingSide::writeResponse(ClientRequest& request) {
+    auto& out = channel_.output();
+    if (request.transfer && !request.headerSent) {
+        if (!request.error.empty()) {
+            refuseFile(request);
             return true;
         }
-        // The head goes out only with the first content: until then the file can be refused cleanly.
-        if (job.wantsManifest) return false;
-        if (!job.pieces.empty() && !(job.slots.count(0) && job.slots[0].ready)) return false;
+        // The header is sent only with the first content: until then the file can be refused cleanly.
+        if (request.needsManifest) return false;
+        if (!request.pieces.empty() && !(request.reads.count(0) && request.reads[0].ready)) return false;
     }
-    if (!job.headSent) {
-        out_.put(out, job.index);
-        putU16(out, job.flags);
-        out += job.extras;
-        job.headSent = true;
-        if (!job.transfer) return true;
-        putSumHead(out, job.sums.head);
-        job.matcher = std::make_unique<Matcher>(std::move(job.sums), agreed_.sums, md5, agreed_.seed,
-                                                agreed_.seedFirst());
-        // The sum that is stored needs no counting.
-        if (agreed_.sums != SumKind::Xxh128) job.sum = std::make_unique<FileSum>(agreed_.sums);
+    if (!request.headerSent) {
+        indexOut_.put(out, request.index);
+        putU16(out, request.flags);
+        out += request.echoedFields;
+        request.headerSent = true;
+        if (!request.transfer) return true;
+        putSumHead(out, request.sums.head);
+        request.matcher = std::make_unique<Matcher>(std::move(request.sums), parameters_.checksumKind, md5,
+                                                    parameters_.checksumSeed, parameters_.seedFirst());
+        // For xxh128 the stored digest is sent, so nothing is computed.
+        if (parameters_.checksumKind != SumKind::Xxh128)
+            request.checksum = std::make_unique<FileSum>(parameters_.checksumKind);
     }
-    while (job.sent < job.pieces.size() && job.fault.empty()) {
-        const auto found = job.slots.find(job.sent);
-        if (found == job.slots.end() || !found->second.ready) return false;
-        auto& slot = found->second;
+    while (request.piecesWritten < request.pieces.size() && request.error.empty()) {
+        const auto found = request.reads.find(request.piecesWritten);
+        if (found == request.reads.end() || !found->second.ready) return false;
+        auto& read = found->second;
         if (throttle_.on()) {
-            const double wait = throttle_.waitMs(context_.now());
+            const double wait = throttle_.waitMs(context_.nowMs());
             if (wait > 0) {
-                pause_ = context_.after(wait, [this] {
-                    pause_.reset();
+                throttleTimer_ = context_.callAfter(wait, [this] {
+                    throttleTimer_.reset();
                     wake_();
                 });
                 return false;
             }
-            const auto part = std::string_view(slot.body).substr(slot.passed, throttle_.slice());
-            throttle_.wrote(part.size(), context_.now());
-            slot.passed += part.size();
-            pass(job, part);
-            if (slot.passed < slot.body.size()) continue;
-        } else pass(job, slot.body);
-        job.slots.erase(found);
-        ++job.sent;
-        ++passed_;
-        --ahead_;
+            const auto part = std::string_view(read.body).substr(read.bytesWritten, throttle_.slice());
+            throttle_.wrote(part.size(), context_.nowMs());
+            read.bytesWritten += part.size();
+            writeContent(request, part);
+            if (read.bytesWritten < read.body.size()) continue;
+        } else writeContent(request, read.body);
+        request.reads.erase(found);
+        ++request.piecesWritten;
+        ++piecesWritten_;
+        --readsAhead_;
         channel_.flush();
-        if (channel_.blocked() && job.sent < job.pieces.size()) return false;
+        if (channel_.blocked() && request.piecesWritten < request.pieces.size()) return false;
     }
-    finishFile(job);
+    finishFile(request);
     return true;
 }
 
-void Sending::pass(Job& job, std::string_view bytes) {
-    written_ += bytes.size();
-    if (job.sum) job.sum->add(bytes);
-    // Nothing to match and nothing to pack: the bytes go out as they are.
-    if (!job.matcher->matches() && !agreed_.options.compress) channel_.literal(bytes);
-    else job.matcher->feed(bytes, tokens_, channel_.out());
+void SendingSide::writeContent(ClientRequest& request, std::string_view bytes) {
+    contentBytesWritten_ += bytes.size();
+    if (request.checksum) request.checksum->add(bytes);
+    // Without blocks to match and without compression the bytes are sent as they are.
+    if (!request.matcher->matches() && !parameters_.options.compress) channel_.writeLiteral(bytes);
+    else request.matcher->feed(bytes, tokenWriter_, channel_.output());
 }
 
-// What is still asked for it is of no use any more.
-void Sending::finishFile(Job& job) {
-    auto& out = channel_.out();
-    job.matcher->finish(tokens_, out);
-    tokens_.end(out);
+// Ends the content of a file and sends its checksum; abandons reads that are still open after an error.
+void SendingSide::finishFile(ClientRequest& request) {
+    auto& out = channel_.output();
+    request.matcher->finish(tokenWriter_, out);
+    tokenWriter_.end(out);
     std::string sum;
-    if (job.sum) sum = job.sum->wire();
-    else sum = sumOf(job.version->digest.empty() ? catalogue::hex128("") : job.version->digest);
-    if (!job.fault.empty()) {
-        // Failed half-way: a checksum that can't match makes the client throw away what it has, as the
-        // stock sender does on a read error; it asks again in the second round.
+    if (request.checksum) sum = request.checksum->wireDigest();
+    else
+        sum = checksumFromHex(request.version->digest.empty() ? catalogue::hex128("")
+                                                              : request.version->digest);
+    if (!request.error.empty()) {
+        // Failed half-way: a checksum that cannot match makes the client discard the content and request the
+        // file again in the second phase, as the original sender does on a read error.
         for (auto& c : sum) c = static_cast<char>(~c);
-        channel_.message(Message::ErrorXfer, "spokewheel: reading \"" + job.version->path + "\" (in " +
-                                                 agreed_.volume->name + ") broke off: " + job.fault + "\n");
-        context_.note("file_broken_off", "", job.version->path + ": " + job.fault);
+        channel_.sendMessage(Message::ErrorXfer, "spokewheel: reading \"" + request.version->path +
+                                                     "\" (in " + parameters_.volume->name +
+                                                     ") broke off: " + request.error + "\n");
+        context_.logEvent("file_broken_off", "", request.version->path + ": " + request.error);
     }
     out += sum;
-    for (auto& [i, slot] : job.slots) {
-        if (!slot.ready) agreed_.store->abandon(slot.request), --open_;
-        --ahead_;
+    for (auto& [i, read] : request.reads) {
+        if (!read.ready) parameters_.store->abandon(read.requestId), --openReads_;
+        --readsAhead_;
     }
-    job.slots.clear();
+    request.reads.clear();
 }
 
-void Sending::refuse(Job& job) {
-    const auto path = listing_.files[static_cast<std::size_t>(job.index)].entry.name;
-    channel_.message(Message::ErrorXfer, "spokewheel: \"" + path + "\" (in " + agreed_.volume->name +
-                                             ") was not sent: " + job.fault + "\n");
+// Reports a file that cannot be sent at all.
+void SendingSide::refuseFile(ClientRequest& request) {
+    const auto path = listing_.files[static_cast<std::size_t>(request.index)].entry.name;
+    channel_.sendMessage(Message::ErrorXfer, "spokewheel: \"" + path + "\" (in " + parameters_.volume->name +
+                                                 ") was not sent: " + request.error + "\n");
     std::string index;
-    putU32(index, static_cast<std::uint32_t>(job.index));
-    channel_.message(Message::NoSend, index);
-    context_.note("file_not_sent", "", path + ": " + job.fault);
-    for (auto& [i, slot] : job.slots) {
-        if (!slot.ready) agreed_.store->abandon(slot.request), --open_;
-        --ahead_;
+    putU32(index, static_cast<std::uint32_t>(request.index));
+    channel_.sendMessage(Message::NoSend, index);
+    context_.logEvent("file_not_sent", "", path + ": " + request.error);
+    for (auto& [i, read] : request.reads) {
+        if (!read.ready) parameters_.store->abandon(read.requestId), --openReads_;
+        --readsAhead_;
     }
-    job.slots.clear();
+    request.reads.clear();
 }
 
-// One done mark at protocol 30; from 31 on it is answered, and one more comes.
-bool Sending::goodbye() {
+// At protocol 30 the client sends one final mark; from 31 on the first is answered and a second one follows.
+bool SendingSide::goodbye() {
     Reader r(channel_.input());
-    auto coder = in_;
+    auto coder = indexIn_;
     const auto index = coder.get(r);
     if (index == kDeleteStats)
         for (int i = 0; i < 5; ++i) r.varint();
     if (!r.enough()) return false;
-    if (r.bad() || (index != kDone && index != kDeleteStats)) return broken("unexpected index at the end");
-    in_ = coder;
-    channel_.took(r.used());
+    if (r.bad() || (index != kDone && index != kDeleteStats)) return fail("unexpected index at the end");
+    indexIn_ = coder;
+    channel_.consume(r.used());
     if (index == kDeleteStats) return true;
-    if (++goodbyes_ == 1 && agreed_.protocol >= 31) {
-        out_.put(channel_.out(), kDone);
+    if (++goodbyesSeen_ == 1 && parameters_.protocol >= 31) {
+        indexOut_.put(channel_.output(), kDone);
         return true;
     }
-    state_ = State::Over;
+    state_ = State::Finished;
     return false;
 }
 
--- a/src/fronts/rsync/sending.hpp
+++ b/src/fronts/rsync/sending.hpp
@@ -1,5 +1,5 @@
-// The half of a session that sends files to a client (it pulls): list, requests, content ahead of need,
-// delta against the client's blocks, the three rounds and the goodbye.
+// The sending side of a session, for downloads: sends the file list, takes the client's requests, reads
+// content ahead and sends it as a delta against the client's blocks; ends the phases of the protocol.
 #pragma once
 
 #include <deque>
@@ -15,63 +15,67 @@
 
 namespace spokewheel::fronts::rsync {
 
-class Sending : public Half, public std::enable_shared_from_this<Sending> {
+class SendingSide : public TransferSide, public std::enable_shared_from_this<SendingSide> {
   public:
-    Sending(Context& context, Agreed agreed, Channel& channel, std::function<void()> wake);
-    ~Sending() override;
+    SendingSide(Context& context, TransferParameters parameters, Channel& channel,
+                std::function<void()> wake);
+    ~SendingSide() override;
     bool advance() override;
-    bool working() const override { return open_ > 0 || state_ == State::Wait || state_ == State::Build; }
-    Waits waits() const override;
+    bool hasPendingWork() const override {
+        return openReads_ > 0 || state_ == State::WaitForMemory || state_ == State::BuildList;
+    }
+    WaitReason waitReason() const override;
 
   private:
-    enum class State { Filter, Names, Wait, Build, List, Serve, Goodbye, Over };
-    struct Slot {  // one object asked for
-        std::string body, request;
-        std::size_t passed = 0;  // bytes of the body that went out
+    enum class State { Filter, FilesFrom, WaitForMemory, BuildList, SendList, Serve, Goodbye, Finished };
+    struct PieceRead {  // a read of one stored object
+        std::string body, requestId;
+        std::size_t bytesWritten = 0;  // bytes of `body` already written
         bool ready = false;
         host::Memory::Lease lease;
     };
-    struct Job {  // one request of the client, in order
+    struct ClientRequest {  // one item of the client's request stream, handled in order
         std::int32_t index = 0;
         std::uint16_t flags = 0;
-        std::string extras;  // basis type and name as they came, echoed
-        std::string echo;    // done marks and statistics: written as they are
-        bool marker = false, done = false, transfer = false, headSent = false;
+        std::string echoedFields;  // basis type and name, returned as received
+        std::string echo;          // deletion statistics, returned as received
+        // `marker`: not a file, but a phase end (`done`) or deletion statistics.
+        bool marker = false, done = false, transfer = false, headerSent = false;
         wire::rsync::BlockSums sums;
         std::size_t sumBytes = 0;
         catalogue::Shown version;
         std::vector<catalogue::Piece> pieces;
-        bool wantsManifest = false;
-        std::map<std::size_t, Slot> slots;
-        std::size_t asked = 0, sent = 0;
-        std::string fault;
+        bool needsManifest = false;  // `pieces` is known only after reading the manifest
+        std::map<std::size_t, PieceRead> reads;
+        std::size_t piecesRequested = 0, piecesWritten = 0;
+        std::string error;
         std::unique_ptr<wire::rsync::Matcher> matcher;
-        std::unique_ptr<FileSum> sum;
+        std::unique_ptr<FileSum> checksum;
     };
-    using JobPtr = std::shared_ptr<Job>;
+    using ClientRequestPtr = std::shared_ptr<ClientRequest>;
 
     bool readFilter();
-    bool readNames();
-    bool mayList();
+    bool readFilesFrom();
+    bool reserveListMemory();
     bool buildList();
     void startList();
     bool writeList();
     bool readRequests();
-    bool readSums(Job& job);
+    bool readSums(ClientRequest& request);
     bool goodbye();
-    void prepare(Job& job);
-    void fetch();
-    void ask(const JobPtr& job, std::size_t piece);
-    void onPiece(const std::weak_ptr<Job>& weak, std::size_t piece, ReadResult result);
-    bool serve();
-    bool serveFront(Job& job);
-    void pass(Job& job, std::string_view bytes);
-    void finishFile(Job& job);
-    void refuse(Job& job);
-    bool broken(std::string why);
+    void preparePieces(ClientRequest& request);
+    void readAhead();
+    void requestPiece(const ClientRequestPtr& request, std::size_t piece);
+    void onReadDone(const std::weak_ptr<ClientRequest>& weak, std::size_t piece, ReadResult result);
+    bool writeResponses();
+    bool writeResponse(ClientRequest& request);
+    void writeContent(ClientRequest& request, std::string_view bytes);
+    void finishFile(ClientRequest& request);
+    void refuseFile(ClientRequest& request);
+    bool fail(std::string why);
 
     Context& context_;
-    Agreed agreed_;
+    TransferParameters parameters_;
     Channel& channel_;
     State state_ = State::Filter;
     wire::rsync::Filter filter_;
@@ -79,19 +83,20 @@
     std::vector<std::string> names_;
     std::unique_ptr<ListBuilder> builder_;
     Listing listing_;
-    std::size_t listAt_ = 0;
+    std::size_t nextListEntry_ = 0;
     std::unique_ptr<wire::rsync::ListWriter> listWriter_;
-    wire::rsync::IndexCoder in_, out_;
-    wire::rsync::TokenWriter tokens_;
-    std::deque<JobPtr> jobs_;
-    JobPtr summing_;  // its block sums are still coming
+    wire::rsync::IndexCoder indexIn_, indexOut_;
+    wire::rsync::TokenWriter tokenWriter_;
+    std::deque<ClientRequestPtr> requests_;
+    ClientRequestPtr awaitingSums_;  // its block checksums have not all arrived
     std::int32_t sumsLeft_ = 0;
-    std::size_t open_ = 0, ahead_ = 0, sumsHeld_ = 0, nameBytes_ = 0;
-    int rounds_ = 0, goodbyes_ = 0, ioError_ = 0;
-    std::uint64_t written_ = 0, passed_ = 0;  // bytes; pieces
-    bool moving_ = false;
+    // Reads without a response; reads whose content is not written yet; block checksums held, in bytes.
+    std::size_t openReads_ = 0, readsAhead_ = 0, heldSumBytes_ = 0, nameBytes_ = 0;
+    int phasesSeen_ = 0, goodbyesSeen_ = 0, ioError_ = 0;
+    std::uint64_t contentBytesWritten_ = 0, piecesWritten_ = 0;  // in bytes; in pieces
+    bool countedActive_ = false;
     host::Memory::Lease listLease_;
-    std::shared_ptr<void> retry_, pause_;
+    std::shared_ptr<void> memoryRetryTimer_, throttleTimer_;
     Throttle throttle_;
 };
 
--- a/src/fronts/rsync/server.cpp
+++ b/src/fronts/rsync/server.cpp
@@ -5,54 +5,55 @@
 
 namespace spokewheel::fronts::rsync {
 
-Server::Server(Context& context, const io::Address& at)
+Server::Server(Context& context, const io::Address& address)
     : context_(context),
       places_({context.settings.handshakes, context.settings.connections,
                context.settings.connectionsByAddress}) {
     listener_ = std::make_unique<io::Listener>(
-        at, [this](std::shared_ptr<io::Connection> c) { accept(std::move(c)); });
+        address, [this](std::shared_ptr<io::Connection> c) { accept(std::move(c)); });
 }
 Server::~Server() { abort(); }
 
 void Server::accept(std::shared_ptr<io::Connection> connection) {
-    const auto id = ++next_;
+    const auto id = ++nextId_;
     const auto address = connection->remoteHost();
     if (const auto oldest = places_.enter(id, address)) {
         ++evictions_;
         if (const auto found = sessions_.find(*oldest); found != sessions_.end()) {
             const auto session = found->second;
-            session->giveWay();
+            session->evict();
         } else places_.leave(*oldest);
     }
-    Doorman doorman;
-    doorman.spoke = [this, id] { places_.spoke(id); };
-    doorman.why = [this, id](const config::VolumeSettings& v) {
+    Admission admission;
+    admission.greeted = [this, id] { places_.spoke(id); };
+    admission.refusalReason = [this, id](const config::VolumeSettings& v) {
         return places_.why(id, v.name, v.connections);
     };
-    doorman.sit = [this, id](const config::VolumeSettings& v) {
+    admission.admit = [this, id](const config::VolumeSettings& v) {
         return places_.sit(id, v.name, v.connections);
     };
-    doorman.wrongPassword = [this, address] { return places_.wrongPassword(address, context_.now()); };
-    auto session = std::make_shared<Session>(context_, std::move(connection), "c" + std::to_string(id),
-                                             std::move(doorman), [this, id] {
-                                                 places_.leave(id);
-                                                 sessions_.erase(id);
-                                                 if (sessions_.empty())
-                                                     if (const auto empty = std::exchange(empty_, nullptr))
-                                                         empty();
-                                             });
+    admission.authFailureDelayMs = [this, address] {
+        return places_.wrongPassword(address, context_.nowMs());
+    };
+    auto session = std::make_shared<Session>(
+        context_, std::move(connection), "c" + std::to_string(id), std::move(admission), [this, id] {
+            places_.leave(id);
+            sessions_.erase(id);
+            if (sessions_.empty())
+                if (const auto onEmpty = std::exchange(onEmpty_, nullptr)) onEmpty();
+        });
     sessions_[id] = session;
     session->start();
 }
 
-void Server::drain(std::function<void()> empty) {
+void Server::drain(std::function<void()> onEmpty) {
     listener_->stop();
-    empty_ = std::move(empty);
+    onEmpty_ = std::move(onEmpty);
     std::vector<std::shared_ptr<Session>> all;
     for (const auto& [id, s] : sessions_) all.push_back(s);
     for (const auto& s : all) s->drain();
     if (sessions_.empty())
-        if (const auto done = std::exchange(empty_, nullptr)) done();
+        if (const auto done = std::exchange(onEmpty_, nullptr)) done();
 }
 
 void Server::abort() {
--- a/src/fronts/rsync/server.hpp
+++ b/src/fronts/rsync/server.hpp
@@ -1,4 +1,4 @@
-// The rsync front: listens, caps its clients, and ends them in order.
+// Listener of the rsync front: accepts clients within the connection limits and shuts them down in order.
 #pragma once
 
 #include <functional>
@@ -13,14 +13,16 @@
 
 class Server {
   public:
-    // Throws std::runtime_error where it can't listen.
-    Server(Context& context, const io::Address& at);
+    // Throws std::runtime_error if it cannot listen.
+    Server(Context& context, const io::Address& address);
     ~Server();
     int port() const { return listener_->port(); }
-    // Takes no one new and tells those in their handshake; `empty` is called once all others are through.
-    void drain(std::function<void()> empty);
-    void abort();
+    // Stops accepting clients, refuses those still in their handshake, and calls `onEmpty` once the remaining
+    // sessions have ended.
+    void drain(std::function<void()> onEmpty);
+    void abort();  // closes all connections at once
     std::size_t sessions() const { return sessions_.size(); }
+    // Clients disconnected because too many were in their handshake.
     std::uint64_t evictions() const { return evictions_; }
     const Places& places() const { return places_; }
 
@@ -29,9 +31,9 @@
     Context& context_;
     std::map<std::uint64_t, std::shared_ptr<Session>> sessions_;
     Places places_;
-    std::uint64_t next_ = 0, evictions_ = 0;
+    std::uint64_t nextId_ = 0, evictions_ = 0;
     std::unique_ptr<io::Listener> listener_;
-    std::function<void()> empty_;
+    std::function<void()> onEmpty_;
 };
 
 }  // namespace spokewheel::fronts::rsync
