--- a/src/fronts/rsync/basis.cpp
+++ b/src/fronts/rsync/basis.cpp
@@ -6,7 +6,7 @@
 
 using namespace wire::rsync;
 
-Basis::Basis(Context& context, const TransferParameters& parameters, catalogue::Shown version,
+Basis::Basis(Context& context, const TransferParameters& parameters, catalogue::FileVersionPtr version,
              std::function<void()> wake)
     : context_(context), parameters_(parameters), version_(std::move(version)), wake_(std::move(wake)) {}
 Basis::~Basis() {
--- a/src/fronts/rsync/basis.hpp
+++ b/src/fronts/rsync/basis.hpp
@@ -16,7 +16,7 @@
 
 class Basis : public std::enable_shared_from_this<Basis> {
   public:
-    Basis(Context& context, const TransferParameters& parameters, catalogue::Shown version,
+    Basis(Context& context, const TransferParameters& parameters, catalogue::FileVersionPtr version,
           std::function<void()> wake);
     ~Basis();
     // Reads the whole file and computes its block checksums. Calls `wake` when ready() or failed().
@@ -42,7 +42,7 @@
 
     Context& context_;
     TransferParameters parameters_;
-    catalogue::Shown version_;
+    catalogue::FileVersionPtr version_;
     std::function<void()> wake_;
     std::vector<catalogue::Piece> pieces_;
     std::vector<std::uint64_t> pieceOffsets_;
--- a/src/fronts/rsync/listing.cpp
+++ b/src/fronts/rsync/listing.cpp
@@ -28,9 +28,9 @@
             continue;
         }
         const auto& below = task.kind == TaskKind::Pattern ? std::string() : task.path.path;
-        const auto part = catalogue_.belowFrom(volume_, below, task.resumeAfter, entries);
-        entries -= std::min(entries, part.shown.size() + 1);
-        for (const auto& v : part.shown) visit(task, v);
+        const auto part = catalogue_.pageBelow(volume_, below, task.resumeAfter, entries);
+        entries -= std::min(entries, part.entries.size() + 1);
+        for (const auto& v : part.entries) visit(task, v);
         task.resumeAfter = part.last;
         if (!part.more) {
             finishTask(std::move(task));
@@ -55,7 +55,7 @@
     found_.push_back(std::move(listed));
 }
 
-void ListBuilder::addFile(const catalogue::Shown& v, const std::string& name) {
+void ListBuilder::addFile(const catalogue::FileVersionPtr& v, const std::string& name) {
     if (filter_.excluded(name, false) || limitReached()) return;
     ListedFile l;
     l.entry.name = name;
@@ -106,7 +106,7 @@
 }
 
 // Handles one catalogue entry below the task's path.
-void ListBuilder::visit(Task& task, const catalogue::Shown& v) {
+void ListBuilder::visit(Task& task, const catalogue::FileVersionPtr& v) {
     const auto& path = task.path.path;
     if (task.kind == TaskKind::Pattern) {
         // The pattern is matched against the leading part of the path with as many components.
--- a/src/fronts/rsync/listing.hpp
+++ b/src/fronts/rsync/listing.hpp
@@ -14,7 +14,7 @@
 
 struct ListedFile {
     wire::rsync::FileEntry entry;
-    catalogue::Shown version;  // served even if the path is overwritten meanwhile
+    catalogue::FileVersionPtr version;  // served even if the path is overwritten meanwhile
 };
 struct Listing {
     std::deque<ListedFile> files;     // in index order; a deque, so that growing moves nothing
@@ -52,10 +52,10 @@
         std::string resumeAfter;        // last path visited
         std::set<std::string> matches;  // paths that match the pattern
     };
-    void addFile(const catalogue::Shown& v, const std::string& name);
+    void addFile(const catalogue::FileVersionPtr& v, const std::string& name);
     void addDirectory(const std::string& path, const std::string& name, bool top, bool content);
     void resolveArgument(const ModulePath& p);
-    void visit(Task& task, const catalogue::Shown& v);
+    void visit(Task& task, const catalogue::FileVersionPtr& v);
     void finishTask(Task task);
     void addParents(const ModulePath& p);
     void add(ListedFile listed);
--- a/src/fronts/rsync/receiving.cpp
+++ b/src/fronts/rsync/receiving.cpp
@@ -304,7 +304,7 @@
     return join(backupDir_, path.substr(std::min(skip, path.size()))) + o.backupSuffix;
 }
 
-void ReceivingSide::scheduleBackup(const catalogue::Shown& existing, const std::string& path) {
+void ReceivingSide::scheduleBackup(const catalogue::FileVersionPtr& existing, const std::string& path) {
     if (!existing || existing->kind != Kind::File) return;
     const auto to = backupPathFor(path);
     if (to.empty() || to == path || parameters_.options.dryRun) return;
@@ -356,7 +356,7 @@
 }
 
 // The content is up to date: writes a new version only if the time or mode differs.
-void ReceivingSide::updateAttributes(std::int32_t index, const catalogue::Shown& existing) {
+void ReceivingSide::updateAttributes(std::int32_t index, const catalogue::FileVersionPtr& existing) {
     const auto& o = parameters_.options;
     const auto& e = list_[static_cast<std::size_t>(index)];
     if (o.removeSource) reportSuccess(index);
@@ -389,7 +389,7 @@
         if (e.isDirectory() && e.content) completeDirectories.insert(pathOf(e));
     }
     const auto skip = target_.path.empty() ? 0 : target_.path.size() + 1;
-    const auto existing = parameters_.store->catalogue().below(parameters_.volume->name, target_.path);
+    const auto existing = parameters_.store->catalogue().entriesBelow(parameters_.volume->name, target_.path);
     std::vector<ExistingEntry> entries;
     for (const auto& v : existing) entries.push_back({v->path, v->kind == Kind::Directory});
     const auto mayDelete = [&](const ExistingEntry& entry) {
@@ -405,7 +405,7 @@
         const auto& v = existing[i];
         auto write = std::make_shared<MetadataWrite>();
         write->version.path = v->path;
-        write->version.kind = Kind::Gone;
+        write->version.kind = Kind::Deleted;
         write->version.version = v->version + 1;
         write->version.mtime = g_get_real_time() / 1000000;
         write->deletedName = v->path.substr(skip);
@@ -657,8 +657,8 @@
 void ReceivingSide::storeFullPieces(const std::shared_ptr<IncomingFile>& f) {
     const auto pieceBytes = static_cast<std::size_t>(context_.settings.pieceBytes);
     while (f->pieceBuffer.size() >= pieceBytes || (f->received && !f->pieceBuffer.empty())) {
-        if (f->pieces.size() >= catalogue::kMostPieces) {
-            f->error = "has more than " + std::to_string(catalogue::kMostPieces) + " pieces";
+        if (f->pieces.size() >= catalogue::kMaxPieces) {
+            f->error = "has more than " + std::to_string(catalogue::kMaxPieces) + " pieces";
             f->pieceBuffer.clear();
             return;
         }
@@ -667,7 +667,7 @@
         auto lease = std::make_shared<host::Memory::Lease>(std::move(f->pieceLease));
         catalogue::Piece p;
         p.size = body->size();
-        p.digest = catalogue::hex128(*body);
+        p.digest = catalogue::xxh128Hex(*body);
         p.object = "p/" + catalogue::pieceId(parameters_.volume->name, f->version.path, f->version.version,
                                              f->pieces.size(), p.digest);
         f->pieces.push_back(std::move(p));
--- a/src/fronts/rsync/receiving.hpp
+++ b/src/fronts/rsync/receiving.hpp
@@ -35,8 +35,8 @@
     // A version written without transferring content: a directory, a deletion, a backup, or new attributes.
     struct MetadataWrite {
         catalogue::FileVersion version;
-        catalogue::Shown contentSource;  // the version whose content it keeps; null if it has none
-        std::string deletedName;         // of a deletion: the name reported to the client
+        catalogue::FileVersionPtr contentSource;  // the version whose content it keeps; null if it has none
+        std::string deletedName;                  // of a deletion: the name reported to the client
     };
 
     bool readFilter();
@@ -71,10 +71,10 @@
     bool commitDelayed();
     std::set<std::string> emptyDirectories() const;
     std::string backupPathFor(const std::string& path) const;
-    void scheduleBackup(const catalogue::Shown& existing, const std::string& path);
+    void scheduleBackup(const catalogue::FileVersionPtr& existing, const std::string& path);
     bool inBackupDirectory(const std::string& path) const;
     bool hasBackupSuffix(const std::string& path) const;
-    void updateAttributes(std::int32_t index, const catalogue::Shown& existing);
+    void updateAttributes(std::int32_t index, const catalogue::FileVersionPtr& existing);
     void reportSuccess(std::int32_t index);
     bool runMetadataWrites();
     void runMetadataWrite(std::shared_ptr<MetadataWrite> write);
--- a/src/fronts/rsync/sending.cpp
+++ b/src/fronts/rsync/sending.cpp
@@ -546,7 +546,7 @@
     std::string sum;
     if (request.checksum) sum = request.checksum->wireDigest();
     else
-        sum = checksumFromHex(request.version->digest.empty() ? catalogue::hex128("")
+        sum = checksumFromHex(request.version->digest.empty() ? catalogue::xxh128Hex("")
                                                               : request.version->digest);
     if (!request.error.empty()) {
         // Failed half-way: a checksum that cannot match makes the client discard the content and request the
--- a/src/fronts/rsync/sending.hpp
+++ b/src/fronts/rsync/sending.hpp
@@ -43,7 +43,7 @@
         bool marker = false, done = false, transfer = false, headerSent = false;
         wire::rsync::BlockSums sums;
         std::size_t sumBytes = 0;
-        catalogue::Shown version;
+        catalogue::FileVersionPtr version;
         std::vector<catalogue::Piece> pieces;
         bool needsManifest = false;  // `pieces` is known only after reading the manifest
         std::map<std::size_t, PieceRead> reads;
--- a/src/platform/report.hpp
+++ b/src/platform/report.hpp
@@ -7,7 +7,7 @@
 #include "log/log.hpp"
 #include "nodes/node_client.hpp"
 #include "peers/plain_link.hpp"
-#include "registry/watch_http.hpp"
+#include "registry/endpoint_watcher.hpp"
 
 namespace spokewheel::platform {
 
@@ -19,7 +19,7 @@
     const host::Host& host;
     const fronts::http::Server& server;
     const nodes::NodeClient& nodes;
-    const registry::WatchHttp& watch;
+    const registry::EndpointWatcher& watch;
     const peers::PlainLink* peers;
     std::size_t violations;
 };
@@ -29,6 +29,6 @@
 void logPulse(log::Log& log, const PulseSources& sources);
 
 // Event `limit_account`: one volume's parts, in units.
-void logLimit(log::Log& log, const LimitNote& note);
+void logLimit(log::Log& log, const LimitAccount& note);
 
 }  // namespace spokewheel::platform
