--- a/src/fronts/http/decode_request.cpp
+++ b/src/fronts/http/decode_request.cpp
@@ -76,7 +76,7 @@
 }
 
 // "volume=00000003b4d60021,units=2,shard=5,hosts=3"; what else stands there is passed over.
-void readIo(std::string_view text, host::Work& work) {
+void readIo(std::string_view text, host::RequestSpec& work) {
     const Wrong wrong{"X-IO: volume, units, shard and hosts are wanted, each once"};
     int seen = 0;
     while (!text.empty()) {
@@ -96,7 +96,7 @@
     if (seen != 15) throw wrong;
 }
 
-void read(const wire::http::Head& head, const Settings& settings, Decoded& out) {
+void read(const wire::http::Head& head, const Settings& settings, DecodedRequest& out) {
     auto& work = out.work;
     if (head.method != "GET" && head.method != "PUT") throw Wrong{"method: GET or PUT is wanted", 405};
     needed(head, "Host");
@@ -149,24 +149,24 @@
 
 }  // namespace
 
-Decoded decodeRequest(const wire::http::Head& head, const Settings& settings) {
-    Decoded out;
+DecodedRequest decodeRequest(const wire::http::Head& head, const Settings& settings) {
+    DecodedRequest out;
     try {
         read(head, settings, out);
     } catch (const Wrong& wrong) {
         out.status = wrong.status;
-        out.words = wrong.words;
+        out.error = wrong.words;
         return out;
     }
-    auto exchange = std::make_shared<host::Exchange>();
+    auto exchange = std::make_shared<host::NodeRequest>();
     exchange->method = head.method;
     exchange->target = head.target;
     exchange->fields.emplace_back("X-Request-ID", out.id);
     for (const auto& field : head.fields)
         if (passesOn(head, field.first)) exchange->fields.push_back(field);
-    exchange->mostAnswer = kMostAnswer;
-    out.work.name = out.id;
-    out.work.exchange = std::move(exchange);
+    exchange->maxResponseBytes = kMostAnswer;
+    out.work.clientRequestId = out.id;
+    out.work.nodeRequest = std::move(exchange);
     return out;
 }
 
--- a/src/fronts/rsync/basis.hpp
+++ b/src/fronts/rsync/basis.hpp
@@ -49,7 +49,7 @@
     wire::rsync::BlockSums sums_;
     std::string partialBlock_, cachedBytes_, error_, openRequest_;
     std::size_t cachedPiece_ = SIZE_MAX, nextPiece_ = 0;
-    host::Memory::Lease lease_;
+    host::MemoryBudget::Lease lease_;
     bool ready_ = false, loading_ = false;
 };
 
--- a/src/fronts/rsync/channel.hpp
+++ b/src/fronts/rsync/channel.hpp
@@ -9,14 +9,14 @@
 #include <utility>
 #include <vector>
 
-#include "io/pipe.hpp"
+#include "io/byte_stream.hpp"
 #include "wire/rsync/mux.hpp"
 
 namespace spokewheel::fronts::rsync {
 
 class Channel {
   public:
-    explicit Channel(std::shared_ptr<io::Pipe> pipe) : pipe_(std::move(pipe)) {}
+    explicit Channel(std::shared_ptr<io::ByteStream> pipe) : pipe_(std::move(pipe)) {}
 
     // ---- input ----
     // Returns false if the stream is malformed; error() holds the reason. Pauses reading from the connection
@@ -51,7 +51,7 @@
   private:
     static constexpr std::size_t kMaxUnreadBytes = 512 * 1024, kMaxPendingBytes = 128 * 1024,
                                  kFrameBytes = 32 * 1024, kLiteralBytes = 128 * 1024;
-    std::shared_ptr<io::Pipe> pipe_;
+    std::shared_ptr<io::ByteStream> pipe_;
     wire::rsync::Demux demux_;
     std::vector<wire::rsync::Demux::Beside> messages_;
     bool demuxFrames();
--- a/src/fronts/rsync/context.hpp
+++ b/src/fronts/rsync/context.hpp
@@ -7,10 +7,10 @@
 
 #include "catalogue/catalogue.hpp"
 #include "config/settings.hpp"
-#include "fronts/patience.hpp"
+#include "fronts/request_pacer.hpp"
 #include "fronts/rsync/channel.hpp"
 #include "fronts/store.hpp"
-#include "host/memory.hpp"
+#include "host/memory_budget.hpp"
 #include "io/loop.hpp"
 #include "wire/rsync/file_list.hpp"
 #include "wire/rsync/options.hpp"
@@ -25,14 +25,14 @@
 // Shared by all sessions of a server; must outlive them.
 struct Context {
     const config::DaemonSettings& settings;
-    host::Memory& memory;
+    host::MemoryBudget& memory;
     // Whether the catalogue has read the change feeds of all nodes at least once.
     std::function<bool()> catalogueComplete;
     // Writes a log event; `session` is empty where the event belongs to a file rather than a session.
     std::function<void(const char* event, const std::string& session, const std::string& detail)> logEvent;
     // Opens the session's own access to stored objects. The daemon's implementation queues requests that the
     // volume cannot serve yet.
-    std::function<std::unique_ptr<Store>(const Patience::Bounds&)> openStore;
+    std::function<std::unique_ptr<Store>(const RequestPacer::WaitLimits&)> openStore;
     std::function<double()> nowMs;  // monotonic
     // Calls back once after `ms`, unless the returned handle is released before.
     std::function<std::shared_ptr<void>(double ms, std::function<void()>)> callAfter;
--- a/src/fronts/rsync/incoming.hpp
+++ b/src/fronts/rsync/incoming.hpp
@@ -9,7 +9,7 @@
 #include "catalogue/file_version.hpp"
 #include "fronts/rsync/basis.hpp"
 #include "fronts/rsync/file_sum.hpp"
-#include "host/memory.hpp"
+#include "host/memory_budget.hpp"
 #include "wire/rsync/tokens.hpp"
 
 namespace spokewheel::fronts::rsync {
@@ -20,7 +20,7 @@
     catalogue::FileVersion version;  // stored once all pieces are
     std::shared_ptr<Basis> basis;    // null if sent without delta
     std::string pieceBuffer;         // content not handed to the store yet
-    host::Memory::Lease pieceLease;
+    host::MemoryBudget::Lease pieceLease;
     std::vector<catalogue::Piece> pieces;
     std::uint64_t size = 0;
     std::size_t openPieces = 0;               // writes without a response
--- a/src/fronts/rsync/receiving.cpp
+++ b/src/fronts/rsync/receiving.cpp
@@ -83,8 +83,8 @@
 }
 
 std::size_t ReceivingSide::maxOpenRequests() const {
-    return host::piecesAhead(context_.memory.free(), context_.activeTransfers, context_.settings.pieceBytes,
-                             context_.settings.piecesAhead);
+    return host::maxPiecesInFlight(context_.memory.free(), context_.activeTransfers,
+                                   context_.settings.pieceBytes, context_.settings.piecesAhead);
 }
 
 bool ReceivingSide::advance() {
@@ -188,10 +188,10 @@
                 if (list_.size() % kEntriesPerLease == 0) {
                     // Waiting could deadlock: two half-read lists may hold the memory that both need.
                     const auto bytes = kEntriesPerLease * kListEntryBytes;
-                    if (!host::mayKeepList(bytes, context_.memory.free(), context_.memory.used()) &&
+                    if (!host::mayHoldFileList(bytes, context_.memory.free(), context_.memory.used()) &&
                         !list_.empty())
                         return fail("no memory for a file list this long now, try again later");
-                    listLeases_.push_back(context_.memory.take(bytes));
+                    listLeases_.push_back(context_.memory.acquire(bytes));
                 }
                 sorter_.add(entry);
                 list_.push_back(std::move(entry));
@@ -474,12 +474,12 @@
                        {source->shard, "o/" + source->id, source->size, source->digest}})));
     const auto ticket = ++nextTicket_;
     openRequests_[ticket] = parameters_.store->read(
-        *parameters_.volume, source->shard, "o/" + source->id, kMostManifest, source->size, "",
+        *parameters_.volume, source->shard, "o/" + source->id, kMaxManifestBytes, source->size, "",
         trackRequest<ReadResult>(ticket, [this, write](ReadResult r) {
-            if (r.fine)
+            if (r.ok)
                 return storeMetadataWrite(write, std::make_shared<const std::string>(std::move(r.body)));
             --openMetadataWrites_;
-            reportFileError(write->version.path, r.words);
+            reportFileError(write->version.path, r.error);
         }));
 }
 
@@ -489,7 +489,7 @@
     openRequests_[ticket] =
         parameters_.store->writeVersion(*parameters_.volume, write->version, body,
                                         trackRequest<WriteResult>(ticket, [this, write, body](WriteResult r) {
-                                            if (!r.fine) reportFileError(write->version.path, r.words);
+                                            if (!r.ok) reportFileError(write->version.path, r.error);
                                             --openMetadataWrites_;
                                         }));
 }
@@ -600,8 +600,8 @@
     if (openRequests_.size() >= maxOpenRequests()) return false;
     const auto expected = list_[static_cast<std::size_t>(currentFile_->index)].size;
     const auto rest = expected > currentFile_->size ? expected - currentFile_->size : 0;
-    currentFile_->pieceLease =
-        context_.memory.take(std::clamp<std::uint64_t>(rest, kMinLeaseBytes, context_.settings.pieceBytes));
+    currentFile_->pieceLease = context_.memory.acquire(
+        std::clamp<std::uint64_t>(rest, kMinLeaseBytes, context_.settings.pieceBytes));
     return true;
 }
 
@@ -664,7 +664,7 @@
         }
         auto body = std::make_shared<std::string>(f->pieceBuffer.substr(0, pieceBytes));
         f->pieceBuffer.erase(0, pieceBytes);
-        auto lease = std::make_shared<host::Memory::Lease>(std::move(f->pieceLease));
+        auto lease = std::make_shared<host::MemoryBudget::Lease>(std::move(f->pieceLease));
         catalogue::Piece p;
         p.size = body->size();
         p.digest = catalogue::xxh128Hex(*body);
@@ -678,13 +678,13 @@
 
 void ReceivingSide::storePiece(const std::shared_ptr<IncomingFile>& f, std::size_t i,
                                std::shared_ptr<const std::string> body,
-                               std::shared_ptr<host::Memory::Lease> lease) {
+                               std::shared_ptr<host::MemoryBudget::Lease> lease) {
     const auto ticket = ++nextTicket_;
     const auto expected = list_[static_cast<std::size_t>(f->index)].size;
     openRequests_[ticket] = parameters_.store->writePiece(
         *parameters_.volume, f->version.path, f->pieces[i].object.substr(2), body, expected,
         trackRequest<WriteResult>(ticket, [this, f, i, lease](WriteResult r) {
-            if (!r.fine && f->error.empty()) f->error = r.words;
+            if (!r.ok && f->error.empty()) f->error = r.error;
             f->pieces[i].shard = r.shard;
             --f->openPieces;
             finishFile(f);
@@ -738,7 +738,7 @@
     openRequests_[ticket] = parameters_.store->writeVersion(
         *parameters_.volume, file.version, std::make_shared<const std::string>(std::move(content)),
         trackRequest<WriteResult>(ticket, [this, path, index = file.index, contentOwner](WriteResult r) {
-            if (!r.fine) reportFileError(path, r.words);
+            if (!r.ok) reportFileError(path, r.error);
             else if (parameters_.options.removeSource) reportSuccess(index);
         }));
 }
--- a/src/fronts/rsync/receiving.hpp
+++ b/src/fronts/rsync/receiving.hpp
@@ -58,7 +58,8 @@
     bool copyBlock();
     void storeFullPieces(const std::shared_ptr<IncomingFile>& file);
     void storePiece(const std::shared_ptr<IncomingFile>& file, std::size_t i,
-                    std::shared_ptr<const std::string> body, std::shared_ptr<host::Memory::Lease> lease);
+                    std::shared_ptr<const std::string> body,
+                    std::shared_ptr<host::MemoryBudget::Lease> lease);
     void finishContent(std::string_view sum);
     void finishFile(const std::shared_ptr<IncomingFile>& file);
     // A file whose pieces are stored, before its version is committed.
@@ -124,7 +125,7 @@
     // Phase ends sent and received; deletion statistics.
     int doneSent_ = 0, doneReceived_ = 0, deleted_ = 0, deletedDirectories_ = 0;
     bool countedActive_ = false;
-    std::vector<host::Memory::Lease> listLeases_;
+    std::vector<host::MemoryBudget::Lease> listLeases_;
 };
 
 }  // namespace spokewheel::fronts::rsync
--- a/src/fronts/rsync/sending.cpp
+++ b/src/fronts/rsync/sending.cpp
@@ -242,12 +242,12 @@
         for (const auto& p : paths_)
             entries += parameters_.store->catalogue().countBelow(parameters_.volume->name, p.path);
     const auto bytes = kListEntryBytes * std::min<std::uint64_t>(entries, context_.settings.listEntries);
-    if (!host::mayKeepList(bytes, context_.memory.free(), context_.memory.used())) {
+    if (!host::mayHoldFileList(bytes, context_.memory.free(), context_.memory.used())) {
         memoryRetryTimer_ = context_.callAfter(kMemoryRetryMs, [wake = wake_] { wake(); });
         return false;
     }
     memoryRetryTimer_.reset();
-    listLease_ = context_.memory.take(bytes);
+    listLease_ = context_.memory.acquire(bytes);
     builder_ =
         std::make_unique<ListBuilder>(parameters_.store->catalogue(), parameters_.volume->name,
                                       parameters_.options, paths_, filter_, context_.settings.listEntries);
@@ -390,8 +390,8 @@
             const bool manifest = request->needsManifest;
             if (manifest ? request->piecesRequested > 0 : request->piecesRequested >= request->pieces.size())
                 break;
-            const auto maxReads = host::piecesAhead(context_.memory.free(), context_.activeTransfers, piece,
-                                                    context_.settings.piecesAhead);
+            const auto maxReads = host::maxPiecesInFlight(context_.memory.free(), context_.activeTransfers,
+                                                          piece, context_.settings.piecesAhead);
             // The first request may always have one open read: later requests wait for it with the pieces
             // that they hold, and the window may have shrunk below that number.
             if (readsAhead_ >= maxReads && !(request == requests_.front() && request->reads.empty())) return;
@@ -410,12 +410,12 @@
     };
     ++openReads_;
     if (request->needsManifest) {
-        read.requestId = parameters_.store->read(*parameters_.volume, v.shard, "o/" + v.id, kMostManifest,
+        read.requestId = parameters_.store->read(*parameters_.volume, v.shard, "o/" + v.id, kMaxManifestBytes,
                                                  v.size, "", done);
         return;
     }
     const auto& p = request->pieces[i];
-    read.lease = context_.memory.take(p.size);
+    read.lease = context_.memory.acquire(p.size);
     read.requestId =
         parameters_.store->read(*parameters_.volume, p.shard, p.object, p.size, v.size, p.digest, done);
 }
@@ -425,7 +425,7 @@
     const auto request = weak.lock();
     if (!request) return;
     auto& read = request->reads[i];
-    if (result.fine && request->needsManifest) {
+    if (result.ok && request->needsManifest) {
         const auto pieces = catalogue::decodePieces(result.body, request->version->size);
         request->needsManifest = false;
         request->reads.clear();
@@ -433,12 +433,12 @@
         --readsAhead_;
         if (pieces) request->pieces = *pieces;
         else request->error = "its list of pieces can't be read";
-    } else if (result.fine) {
+    } else if (result.ok) {
         read.body = std::move(result.body);
         read.ready = true;
     } else {
         read.ready = true;
-        if (request->error.empty()) request->error = result.words;
+        if (request->error.empty()) request->error = result.error;
     }
     wake_();
 }
@@ -504,7 +504,7 @@
         const auto found = request.reads.find(request.piecesWritten);
         if (found == request.reads.end() || !found->second.ready) return false;
         auto& read = found->second;
-        if (throttle_.on()) {
+        if (throttle_.enabled()) {
             const double wait = throttle_.waitMs(context_.nowMs());
             if (wait > 0) {
                 throttleTimer_ = context_.callAfter(wait, [this] {
@@ -513,8 +513,9 @@
                 });
                 return false;
             }
-            const auto part = std::string_view(read.body).substr(read.bytesWritten, throttle_.slice());
-            throttle_.wrote(part.size(), context_.nowMs());
+            const auto part =
+                std::string_view(read.body).substr(read.bytesWritten, throttle_.maxWriteBytes());
+            throttle_.onWritten(part.size(), context_.nowMs());
             read.bytesWritten += part.size();
             writeContent(request, part);
             if (read.bytesWritten < read.body.size()) continue;
--- a/src/fronts/rsync/sending.hpp
+++ b/src/fronts/rsync/sending.hpp
@@ -32,7 +32,7 @@
         std::string body, requestId;
         std::size_t bytesWritten = 0;  // bytes of `body` already written
         bool ready = false;
-        host::Memory::Lease lease;
+        host::MemoryBudget::Lease lease;
     };
     struct ClientRequest {  // one item of the client's request stream, handled in order
         std::int32_t index = 0;
@@ -95,7 +95,7 @@
     int phasesSeen_ = 0, goodbyesSeen_ = 0, ioError_ = 0;
     std::uint64_t contentBytesWritten_ = 0, piecesWritten_ = 0;  // in bytes; in pieces
     bool countedActive_ = false;
-    host::Memory::Lease listLease_;
+    host::MemoryBudget::Lease listLease_;
     std::shared_ptr<void> memoryRetryTimer_, throttleTimer_;
     Throttle throttle_;
 };
--- a/src/fronts/rsync/session.cpp
+++ b/src/fronts/rsync/session.cpp
@@ -66,19 +66,19 @@
 
 void Session::start() {
     const std::weak_ptr<Session> weak = weak_from_this();
-    connection_->handle({{},
-                         [weak](std::string_view bytes) {
-                             if (const auto s = weak.lock()) s->onData(bytes);
-                         },
-                         [weak] {
-                             if (const auto s = weak.lock()) {
-                                 s->lastProgressMs_ = io::nowMs();
-                                 s->advance();
-                             }
-                         },
-                         [weak](io::Closed) {
-                             if (const auto s = weak.lock()) s->teardown();
-                         }});
+    connection_->setHandler({{},
+                             [weak](std::string_view bytes) {
+                                 if (const auto s = weak.lock()) s->onData(bytes);
+                             },
+                             [weak] {
+                                 if (const auto s = weak.lock()) {
+                                     s->lastProgressMs_ = io::nowMs();
+                                     s->advance();
+                                 }
+                             },
+                             [weak](io::DisconnectReason) {
+                                 if (const auto s = weak.lock()) s->teardown();
+                             }});
     startedMs_ = lastProgressMs_ = io::nowMs();
     channel_->writeRaw(greeting(kAuthDigests));
     watchIdle();
