--- a/src/fronts/rsync/listing.cpp
+++ b/src/fronts/rsync/listing.cpp
@@ -28,11 +28,11 @@
             continue;
         }
         const auto& below = task.kind == TaskKind::Pattern ? std::string() : task.path.path;
-        const auto part = catalogue_.pageBelow(volume_, below, task.resumeAfter, entries);
-        entries -= std::min(entries, part.entries.size() + 1);
-        for (const auto& v : part.entries) visit(task, v);
-        task.resumeAfter = part.last;
-        if (!part.more) {
+        const auto page = catalogue_.pageBelow(volume_, below, task.resumeAfter, entries);
+        entries -= std::min(entries, page.entries.size() + 1);
+        for (const auto& v : page.entries) visit(task, v);
+        task.resumeAfter = page.last;
+        if (!page.more) {
             finishTask(std::move(task));
             continue;
         }
