--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -15,7 +15,8 @@
 
 constexpr double kPulseMs = 10000;
 
-// Grows with each start, also where the clock was set back meanwhile: peers drop what an older one sent.
+// Returns a number that increases with each start, even if the clock was set back in between: peers drop
+// messages that carry an older one.
 std::uint64_t nextIncarnation(const std::string& stateDir) {
     auto next = static_cast<std::uint64_t>(g_get_real_time());
     if (stateDir.empty()) return next;
@@ -27,9 +28,9 @@
     g_free(text);
     GError* error = nullptr;
     if (!g_file_set_contents(path.c_str(), std::to_string(next).c_str(), -1, &error)) {
-        const std::string words = error->message;
+        const std::string message = error->message;
         g_clear_error(&error);
-        throw std::runtime_error(words);
+        throw std::runtime_error(message);
     }
     return next;
 }
@@ -58,18 +59,18 @@
     };
     edges.subscribe = edges.fetchList = [this] {
         if (listFile_) listFile_->read();
-        if (listHttp_) listHttp_->ask();
+        if (listPoller_) listPoller_->pollNow();
     };
     edges.note = [this](const char* event, const std::string& request, const std::string& node,
-                        const std::string& words) {
-        log_.event(Level::Debug, event, {{"request", request}, {"node", node}, {"words", words}},
+                        const std::string& message) {
+        log_.event(Level::Debug, event, {{"request", request}, {"node", node}, {"words", message}},
                    io::nowMs());
     };
     host_ = std::make_unique<host::Host>(settings_.module, seed, settings_.requests, std::move(edges));
     feed_ = std::make_unique<nodes::Feed>(
         nodes::FeedSettings{}, catalogue_,
-        [this](const char* event, const std::string& node, const std::string& words) {
-            log_.event(Level::Warn, event, {{"node", node}, {"words", words}}, io::nowMs());
+        [this](const char* event, const std::string& node, const std::string& message) {
+            log_.event(Level::Warn, event, {{"node", node}, {"words", message}}, io::nowMs());
         });
     if (!settings_.listenPeers.empty()) {
         peers_ = std::make_unique<peers::PeerLink>(
@@ -87,22 +88,22 @@
         *store_, settings_, [] { return io::nowMs(); }, after);
     context_ = std::make_unique<fronts::rsync::Context>(fronts::rsync::Context{
         settings_, memory_, [this] { return feed_->complete(); },
-        [this](const char* event, const std::string& session, const std::string& words) {
+        [this](const char* event, const std::string& session, const std::string& message) {
             const std::string_view name = event;
-            const bool calm = name == "session_started" || name == "client_refused";
-            log_.event(calm ? Level::Info : Level::Warn, event, {{"session", session}, {"words", words}},
+            const bool routine = name == "session_started" || name == "client_refused";
+            log_.event(routine ? Level::Info : Level::Warn, event, {{"session", session}, {"words", message}},
                        io::nowMs());
         },
         [this](const fronts::Patience::Bounds& bounds) { return patience_->open(bounds); },
         [] { return io::nowMs(); }, after});
     const auto update = [this](ListUpdate u) { onList(std::move(u)); };
-    const auto fault = [this](const std::string& words) {
-        log_.event(Level::Error, "node_list_fault", {{"words", words}}, io::nowMs());
+    const auto fault = [this](const std::string& message) {
+        log_.event(Level::Error, "node_list_fault", {{"words", message}}, io::nowMs());
     };
     if (!settings_.nodesFile.empty())
         listFile_ = std::make_unique<registry::NodeListFile>(settings_.nodesFile, update, fault);
     else
-        listHttp_ = std::make_unique<registry::NodeListPoller>(
+        listPoller_ = std::make_unique<registry::NodeListPoller>(
             addressOf(settings_.nodesHttp),
             settings_.stateDir.empty() ? "" : settings_.stateDir + "/nodes.yaml", seed, update, fault,
             [this] {
@@ -111,11 +112,11 @@
     rsync_ = std::make_unique<fronts::rsync::Server>(*context_, addressOf(settings_.listenRsync));
     log_.event(Level::Info, "started", {{"rsync_port", std::to_string(rsync_->port())}}, io::nowMs());
     log_.flush();
-    pulseTimer_.arm(kPulseMs, [this] { pulse(); });
+    pulseTimer_.arm(kPulseMs, [this] { logPulse(); });
 }
 
-// A pulse in the log, so that counts can be followed without asking.
-void Daemon::pulse() {
+// Logs the counters periodically, so that they can be followed without querying the process.
+void Daemon::logPulse() {
     const auto& c = host_->counters();
     log_.event(
         Level::Info, "pulse",
@@ -140,13 +141,13 @@
                                   : ""}},
         io::nowMs());
     log_.flush();
-    pulseTimer_.arm(kPulseMs, [this] { pulse(); });
+    pulseTimer_.arm(kPulseMs, [this] { logPulse(); });
 }
 
 void Daemon::onList(ListUpdate update) {
-    // A change of the file is seen as it is made: what it tells anew has just begun.
+    // A change of the file is noticed immediately, so a start that it newly reports has just happened.
     const double now = io::nowMs();
-    starts_.read({now, io::wallMs()}, update.form != ListForm::Cached, listFile_ ? now : -1e18);
+    starts_.onList({now, io::wallMs()}, update.form != ListForm::Cached, listFile_ ? now : -1e18);
     for (auto& entry : update.entries) entry.cameUpMs = starts_.localStart(entry.node, entry.cameUpMs);
     const char* forms[] = {"changes", "whole", "cached", "failed"};
     log_.event(
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -1,4 +1,4 @@
-// One gateway host put together: settings in, sockets out. Wiring only; nothing here decides.
+// One gateway host assembled from its settings and sockets. Wiring only; no decisions are made here.
 #pragma once
 
 #include <memory>
@@ -21,16 +21,17 @@
 
 class Daemon {
   public:
-    // Throws std::runtime_error or std::invalid_argument where it can't start.
+    // Throws std::runtime_error or std::invalid_argument if the daemon cannot start.
     Daemon(config::DaemonSettings settings, io::Loop& loop);
-    // First call: nothing new is taken, what is held is answered, then the loop stops. Second: at once.
+    // First call: accepts no new sessions, completes the open ones, then stops the loop. Second call: stops
+    // at once.
     void stop();
     int rsyncPort() const { return rsync_->port(); }
 
   private:
     void onList(ListUpdate update);
     void finish();
-    void pulse();
+    void logPulse();
 
     config::DaemonSettings settings_;
     io::Loop& loop_;
@@ -45,9 +46,9 @@
     std::unique_ptr<fronts::Patience> patience_;
     std::unique_ptr<fronts::rsync::Context> context_;
     std::unique_ptr<fronts::rsync::Server> rsync_;
-    registry::StartTimes starts_{registry::Poll::kWaitMs + registry::Poll::kLateMs};
+    registry::StartTimes starts_{registry::PollState::kBlockMs + registry::PollState::kAnswerGraceMs};
     std::unique_ptr<registry::NodeListFile> listFile_;
-    std::unique_ptr<registry::NodeListPoller> listHttp_;
+    std::unique_ptr<registry::NodeListPoller> listPoller_;
     io::Timer stopTimer_, pulseTimer_;
     double stoppingSince_ = -1;
 };
--- a/src/registry/decide_confirmation.hpp
+++ b/src/registry/decide_confirmation.hpp
@@ -1,11 +1,11 @@
-// Which nodes of a remembered list may be used before the list service has spoken to this process: those that
-// peers confirm. Free of I/O and clocks; times are milliseconds.
+// Decides which nodes of the configured list a restarted process may use before its list service has
+// answered: only those that peers confirm. Free of I/O and clocks; times are milliseconds.
 //
-// A remembered list (the configuration's) may miss a node that drains, is gone or started anew, although the
-// machine's list service had that word before it fell silent, and such a word counts as told from the first
-// moment of a process. Nothing on this machine knows better then; peers that stayed up do. A peer's answer
-// names the nodes that it takes as usable, and how long ago they started. Peers only ever confirm what is
-// remembered: a node's address differs from one scheduler to the next, so they can't add one.
+// The configured list may be out of date: a node that it names may since have been drained, removed or
+// restarted. The list service of this machine may have published that before it stopped answering, and
+// whatever it published binds a process from its start. Peers that stayed up still know. A peer answers with
+// the nodes that it considers usable and how long ago they started. Peers can only confirm nodes of the
+// configured list, not add any, because the address of a node differs from one scheduler to the next.
 #pragma once
 
 #include <algorithm>
@@ -21,10 +21,10 @@
 
 namespace spokewheel::registry {
 
-// What peers confirm by now, by digest of the id.
+// The nodes that peers have confirmed so far, keyed by the digest of the node id.
 struct ConfirmedNodes {
-    std::map<std::uint64_t, double> startedAt;  // by the own clock; 0: long ago
-    double lastContactAt = 0;                   // when the list service spoke last to the peers that answered
+    std::map<std::uint64_t, double> startedAt;  // on the local monotonic clock; 0: long ago
+    double lastContactAt = 0;                   // of the list service with the peers that answered
 };
 
 class Confirmation {
@@ -32,15 +32,16 @@
     Confirmation(int peers, int ownRank, std::uint64_t seed)
         : peers_(peers), ownRank_(ownRank), random_(seed) {}
 
-    // The peers to ask now. Up to half are such whose answer is incomplete, for a lost datagram is asked for
-    // again; the others are drawn anew each time, since most of a fleet may have been restarted too.
+    // Returns the ranks of the peers to query now. Up to half of them are peers whose answer is incomplete,
+    // because one of its datagrams was lost. The others are drawn at random each time, since most of the
+    // fleet may have been restarted too and have no answer to give.
     std::vector<int> peersToQuery() {
         std::vector<int> out;
         for (const auto& [rank, answer] : answers_)
-            if (!answer.complete() && out.size() < kAskedAtOnce / 2) out.push_back(rank);
+            if (!answer.complete() && out.size() < kQueriesPerRound / 2) out.push_back(rank);
         const std::size_t others = peers_ > 1 ? static_cast<std::size_t>(peers_ - 1) : 0;
-        for (std::size_t tries = 0; tries < 4 * kAskedAtOnce; ++tries) {
-            if (out.size() >= std::min(kAskedAtOnce, others)) break;
+        for (std::size_t draw = 0; draw < 4 * kQueriesPerRound; ++draw) {
+            if (out.size() >= std::min(kQueriesPerRound, others)) break;
             const int rank = static_cast<int>(random_() % static_cast<std::uint64_t>(peers_));
             if (rank == ownRank_ || answers_.count(rank) || contains(out, rank)) continue;
             out.push_back(rank);
@@ -48,78 +49,83 @@
         ++rounds_;
         return out;
     }
-    // Until they are asked again.
-    double retryDelayMs() const { return rounds_ < kFastRounds ? kAskAgainMs : kAskAgainLateMs; }
+    // Time until the next round of queries.
+    double retryDelayMs() const { return rounds_ < kFastRounds ? kFastRetryMs : kSlowRetryMs; }
 
-    // A part of a peer's answer. False: it changes nothing.
+    // Records one datagram of the answer of peer `from`. Returns false if it was received before. A part that
+    // belongs to another version of the peer's list discards the parts received so far.
     bool addPart(int from, const wire::peer::MembershipPart& part, double nowMs) {
         auto& answer = answers_[from];
-        const double wordAt = nowMs - part.wordAgeMs;
+        const double lastContactAt = nowMs - part.wordAgeMs;
         if (answer.parts != part.parts || answer.listVersion != part.listVersion) {
             answer = {};
             answer.parts = part.parts;
             answer.listVersion = part.listVersion;
         }
-        answer.wordAt = std::max(answer.wordAt, wordAt);
+        answer.lastContactAt = std::max(answer.lastContactAt, lastContactAt);
         if (!answer.received.insert(part.part).second) return false;
         for (const auto& member : part.members)
             answer.startedAt[member.idDigest] =
                 member.ageMs >= wire::peer::kOldestAgeMs ? 0 : nowMs - member.ageMs;
-        if (answer.complete() && completeAt_ < 0) completeAt_ = nowMs;
+        if (answer.complete() && firstCompleteAt_ < 0) firstCompleteAt_ = nowMs;
         return true;
     }
-    // How long to wait for more answers before confirmedNodes() has one; below zero: none is complete.
+    // Time to wait for further answers until confirmedNodes() returns a result; negative while no answer is
+    // complete.
     double remainingWaitMs(double nowMs) const {
-        if (completeAt_ < 0) return -1;
-        return complete() >= kEnoughAnswers ? 0 : std::max(0.0, completeAt_ + kSettleMs - nowMs);
+        if (firstCompleteAt_ < 0) return -1;
+        return completeAnswers() >= kSufficientAnswers ? 0
+                                                       : std::max(0.0, firstCompleteAt_ + kCollectMs - nowMs);
     }
-    // What every complete answer names whose sender has heard about as much as the best of them: one whose
-    // watch was broken before the others' is behind, and what it names may be out of date.
+    // Returns the nodes that all complete answers name; nullopt while remainingWaitMs() is not 0. Answers of
+    // peers whose contact with the list service is more than kMaxLagMs older than the latest one are ignored:
+    // the watch of such a peer broke earlier, so its list may be out of date.
     std::optional<ConfirmedNodes> confirmedNodes(double nowMs) const {
         if (remainingWaitMs(nowMs) != 0) return std::nullopt;
         double latest = -1e18;
         for (const auto& [rank, answer] : answers_)
-            if (answer.complete()) latest = std::max(latest, answer.wordAt);
+            if (answer.complete()) latest = std::max(latest, answer.lastContactAt);
         ConfirmedNodes out;
         bool first = true;
         for (const auto& [rank, answer] : answers_) {
-            if (!answer.complete() || answer.wordAt < latest - kBehindMs) continue;
-            if (first) out = {answer.startedAt, answer.wordAt};
-            else restrict(out, answer);
+            if (!answer.complete() || answer.lastContactAt < latest - kMaxLagMs) continue;
+            if (first) out = {answer.startedAt, answer.lastContactAt};
+            else intersect(out, answer);
             first = false;
         }
         return out;
     }
 
-    static constexpr std::size_t kAskedAtOnce = 4;
+    static constexpr std::size_t kQueriesPerRound = 4;
 
   private:
     struct Answer {
         std::uint16_t parts = 0;
         std::uint32_t listVersion = 0;
-        double wordAt = -1e18;
+        double lastContactAt = -1e18;
         std::set<std::uint16_t> received;
         std::map<std::uint64_t, double> startedAt;
         bool complete() const { return parts > 0 && received.size() == parts; }
     };
-    // An open watch says a line every 2 s: of two peers that heard all there was one may look that much
-    // later.
-    static constexpr double kBehindMs = 2600;
-    static constexpr double kSettleMs = 150;
-    static constexpr std::size_t kEnoughAnswers = 3;
-    static constexpr double kAskAgainMs = 250, kAskAgainLateMs = 1000;
+    // An open watch receives a line every 2 s, so the last contacts of two peers that both know everything
+    // may differ by that much.
+    static constexpr double kMaxLagMs = 2600;
+    static constexpr double kCollectMs = 150;
+    static constexpr std::size_t kSufficientAnswers = 3;
+    static constexpr double kFastRetryMs = 250, kSlowRetryMs = 1000;
     static constexpr int kFastRounds = 20;
 
     static bool contains(const std::vector<int>& ranks, int rank) {
         return std::find(ranks.begin(), ranks.end(), rank) != ranks.end();
     }
-    std::size_t complete() const {
+    std::size_t completeAnswers() const {
         std::size_t count = 0;
         for (const auto& [rank, answer] : answers_) count += answer.complete();
         return count;
     }
-    static void restrict(ConfirmedNodes& to, const Answer& answer) {
-        to.lastContactAt = std::min(to.lastContactAt, answer.wordAt);
+    // Keeps the nodes that `answer` names too, each with the later of the two start times.
+    static void intersect(ConfirmedNodes& to, const Answer& answer) {
+        to.lastContactAt = std::min(to.lastContactAt, answer.lastContactAt);
         for (auto it = to.startedAt.begin(); it != to.startedAt.end();) {
             const auto found = answer.startedAt.find(it->first);
             if (found == answer.startedAt.end()) {
@@ -134,7 +140,7 @@
     int peers_, ownRank_, rounds_ = 0;
     std::mt19937_64 random_;
     std::map<int, Answer> answers_;
-    double completeAt_ = -1;
+    double firstCompleteAt_ = -1;
 };
 
 }  // namespace spokewheel::registry
--- a/src/registry/decide_poll.hpp
+++ b/src/registry/decide_poll.hpp
@@ -1,4 +1,5 @@
-// When the registry is asked again and what an index means. Free of I/O and clocks.
+// Decides when the node list registry is polled again and how its index is interpreted. Free of I/O and
+// clocks; times are milliseconds.
 #pragma once
 
 #include <algorithm>
@@ -7,30 +8,34 @@
 
 namespace spokewheel::registry {
 
-// Blocking queries: an answer is followed by the next query at once, with the index it brought. An index that
-// went back means that the registry lost its past: the list is taken whole and the next query starts at 0
-// again. Failures wait ever longer, jittered over the whole wait, so that hosts which lost the registry
-// together do not come back together.
-class Poll {
+// State of a blocking (long-poll) query. Each answer is followed at once by the next query, which carries the
+// index of that answer. A smaller index than before means that the registry lost its state: the list counts
+// as a full one, and the next query starts at index 0 again. Failed queries back off exponentially with
+// jitter, so that hosts which lost the registry at the same time do not all reconnect at once.
+class PollState {
   public:
-    explicit Poll(std::uint64_t seed) : random_(seed) {}
+    explicit PollState(std::uint64_t seed) : random_(seed) {}
     std::uint64_t index() const { return index_; }
-    // Whether the list counts as whole (first, or after a loss) rather than as changes to the last.
-    bool answered(std::uint64_t index) {
-        const bool whole = !synced_ || index < index_;
+    // Records a good answer. Returns whether its list is to be taken as a full list (the first one, or the
+    // first after a failure or a loss of state) rather than be compared with the previous list.
+    bool onAnswer(std::uint64_t index) {
+        const bool full = !synced_ || index < index_;
         index_ = index < index_ ? 0 : index;
         synced_ = true;
         failures_ = 0;
-        return whole;
+        return full;
     }
-    double againMs(bool failed) {
+    // Delay before the next query.
+    double nextDelayMs(bool failed) {
         if (!failed) return 0;
-        const double most = std::min(kMostMs, kFirstMs * static_cast<double>(1u << std::min(failures_, 6u)));
+        const double most =
+            std::min(kMaxRetryMs, kFirstRetryMs * static_cast<double>(1u << std::min(failures_, 6u)));
         ++failures_;
-        synced_ = false;  // what was missed is not known: the next list is a whole one
+        synced_ = false;  // changes may have been missed, so the next list is a full one
         return most * (0.5 + 0.5 * static_cast<double>(random_() >> 11) / 9007199254740992.0);
     }
-    static constexpr double kFirstMs = 200, kMostMs = 3000, kWaitMs = 10000, kLateMs = 4000;
+    // kBlockMs: how long the registry may hold a query. kAnswerGraceMs: how much later the answer may arrive.
+    static constexpr double kFirstRetryMs = 200, kMaxRetryMs = 3000, kBlockMs = 10000, kAnswerGraceMs = 4000;
 
   private:
     std::mt19937_64 random_;
--- a/src/registry/decide_watch.hpp
+++ b/src/registry/decide_watch.hpp
@@ -1,9 +1,10 @@
-// When a watch counts as broken, when it is opened again, and what is asked for then. Free of I/O and clocks;
-// times are milliseconds.
+// Decides when a watch of the platform's list counts as broken, when another connection is opened, and from
+// which revision it continues. Free of I/O and clocks; times are milliseconds.
 //
-// The platform allows 6 s from the moment a watch fell silent, and 4 s after a move, until what it missed
-// counts as told. An empty line comes every 2 s. So one that has said no whole line for 2.6 s has been silent
-// for that long at most; two tries may fail after it, 1 s and 1.3 s, before the third has to speak.
+// The platform requires that changes missed while a watch was silent are known 6 s after it fell silent, and
+// 4 s after the list service moved. A live watch sends an empty line every 2 s, so a watch without a complete
+// line for 2.6 s has been silent for at most that long. Two attempts of 1 s and 1.3 s may then fail before
+// the third one has to succeed.
 #pragma once
 
 #include <algorithm>
@@ -15,13 +16,13 @@
 
 namespace spokewheel::registry {
 
-// Why a watch was given up or another was opened beside it; counted in the pulse.
+// Why a connection was given up, or another was opened beside it; counted in the pulse event of the log.
 enum class WatchFault {
-    Unreachable,  // no connection, or refused
+    Unreachable,  // could not connect
     Closed,       // the connection ended or broke
-    Status,       // an answer other than 200
-    Unreadable,   // what came is no list
-    Silent,       // no whole line in time: another is opened beside it
+    Status,       // a status other than 200
+    Unreadable,   // the data is not a valid list
+    Silent,       // no complete line in time: another connection is opened beside it
     Count
 };
 inline const char* nameOf(WatchFault fault) {
@@ -29,76 +30,81 @@
     return kNames[static_cast<std::size_t>(fault)];
 }
 
-class Watch {
+// The state of a watch that outlives its connections: the revision to continue from and the retry delays.
+class WatchState {
   public:
-    Watch(std::int64_t revision, std::uint64_t seed) : random_(seed), revision_(revision) {}
-    // The revision to go on from; below zero: the whole list is wanted.
-    std::int64_t from() const { return revision_; }
-    // Whether what came is news: whole lists always are (the past may have been lost), changes only where
-    // they are later than what is known.
-    bool take(std::int64_t revision, bool complete) {
+    WatchState(std::int64_t revision, std::uint64_t seed) : random_(seed), revision_(revision) {}
+    // The revision to continue from; negative: request the full list.
+    std::int64_t resumeRevision() const { return revision_; }
+    // Returns whether a received list is to be applied: a full list always (the service may have lost its
+    // state), changes only if they are newer than the known revision.
+    bool accept(std::int64_t revision, bool complete) {
         if (!complete && revision <= revision_) return false;
         revision_ = revision;
         return true;
     }
-    void heard() { tries_ = refusals_ = 0; }
-    // What came could not be read: something is missing now, so the whole list is asked for.
-    void lost() { revision_ = -1; }
-    // How long a try that was just opened may go without its head before another is opened beside it. They
-    // grow a little, for a list service that is down for long is asked by all schedulers at once.
-    double tryMs() {
-        const double wait = std::min(kMostTryMs, kTryMs + kTryStepMs * tries_);
-        ++tries_;
+    // The service answered, or another one is to be contacted: retries start over with the shortest delays.
+    void resetDelays() { attempts_ = failures_ = 0; }
+    // Received data was unreadable, so changes may be missing.
+    void requestFullList() { revision_ = -1; }
+    // How long a new connection may take to deliver the response head before another one is opened beside it.
+    // The time grows a little with each attempt, because all schedulers query a list service that stays down.
+    double nextAttemptTimeoutMs() {
+        const double wait = std::min(kMaxAttemptMs, kFirstAttemptMs + kAttemptStepMs * attempts_);
+        ++attempts_;
         return wait * (1 - kJitter * uniform());
     }
-    // How long to wait after a refused or broken connection, where no other is open. The agent is on the same
-    // machine: it costs little to ask it again soon.
-    double againMs() {
-        const double most = std::min(kMostMs, kFirstMs * static_cast<double>(1u << std::min(refusals_, 5u)));
-        ++refusals_;
+    // Delay after a refused or broken connection while no other is open. The agent runs on the same machine,
+    // so frequent retries are cheap.
+    double nextReconnectDelayMs() {
+        const double most =
+            std::min(kMaxReconnectMs, kFirstReconnectMs * static_cast<double>(1u << std::min(failures_, 5u)));
+        ++failures_;
         return most * (1 - 0.5 * uniform());
     }
     static constexpr double kSilentMs = 2600;
-    // An old connection that is silent may still be the first to speak when the list service returns; so it
-    // is held beside the tries.
-    static constexpr std::size_t kMostOpen = 3;
-    // 3,200 members take 0.8 MiB with the ids seen so far, indented by four.
-    static constexpr std::size_t kMostValue = 4 * 1024 * 1024;
-    // A list that comes slowly is no silence, as long as so much of it comes within kSilentMs, up to a bound:
-    // half a line that drips says nothing.
+    // A silent old connection is kept open beside the new attempts, because it may be the first to deliver
+    // data when the list service recovers.
+    static constexpr std::size_t kMaxConnections = 3;
+    // A list of 3,200 members, indented by four, takes 0.8 MiB with ids of the usual length.
+    static constexpr std::size_t kMaxObjectBytes = 4 * 1024 * 1024;
+    // A list that arrives slowly does not count as silence, as long as at least kProgressBytes of it arrive
+    // within kSilentMs and it takes no longer than kSlowListMs: a few bytes now and then are not progress.
     static constexpr std::size_t kProgressBytes = 2048;
     static constexpr double kSlowListMs = 30000;
-    // What is known of one open connection that has not spoken in time.
+    // An open connection, as far as it matters for choosing which one to close.
     struct Candidate {
         double openedAt = 0;
-        std::size_t received = 0;  // of a list that is not whole yet
-        bool speaks = false;       // it is not overdue
+        std::size_t received = 0;  // bytes of an incomplete list
+        bool onTime = false;       // its timeout has not passed
     };
-    // Which of them, the oldest first, is closed to make room for another: one that speaks last, then the one
-    // of which most has come. Of the others the newest, for a crowded list service answers in order: the
-    // connection that spoke before and the first try after it are held until they have had kOldestMs.
-    static std::size_t victim(const std::vector<Candidate>& open, double nowMs) {
+    // Returns the index of the connection to close so that another can be opened. `open` is sorted by age,
+    // oldest first. Connections that are on time are closed last, and before them those that have received
+    // most of a list. Among the others the newest is closed, because an overloaded list service answers in
+    // order: the original connection and the first attempt after it are kept until they are kKeepOldestMs
+    // old.
+    static std::size_t connectionToClose(const std::vector<Candidate>& open, double nowMs) {
         const auto rank = [&](std::size_t i) {
             const auto& c = open[i];
-            const bool held = i < kHeld && nowMs - c.openedAt <= kOldestMs;
-            const int kept = c.speaks ? 3 : c.received > 0 ? 2 : held ? 1 : 0;
-            return std::make_tuple(kept, c.received, i);
+            const bool retained = i < kRetained && nowMs - c.openedAt <= kKeepOldestMs;
+            const int priority = c.onTime ? 3 : c.received > 0 ? 2 : retained ? 1 : 0;
+            return std::make_tuple(priority, c.received, i);
         };
-        std::size_t worst = 0;
+        std::size_t lowest = 0;
         for (std::size_t i = 1; i < open.size(); ++i)
-            if (rank(i) < rank(worst)) worst = i;
-        return worst;
+            if (rank(i) < rank(lowest)) lowest = i;
+        return lowest;
     }
 
   private:
-    static constexpr double kTryMs = 1000, kTryStepMs = 300, kMostTryMs = 1600, kJitter = 0.1;
-    static constexpr double kFirstMs = 50, kMostMs = 800;
-    static constexpr double kOldestMs = 12000;
-    static constexpr std::size_t kHeld = 2;
+    static constexpr double kFirstAttemptMs = 1000, kAttemptStepMs = 300, kMaxAttemptMs = 1600, kJitter = 0.1;
+    static constexpr double kFirstReconnectMs = 50, kMaxReconnectMs = 800;
+    static constexpr double kKeepOldestMs = 12000;
+    static constexpr std::size_t kRetained = 2;
     double uniform() { return static_cast<double>(random_() >> 11) / 9007199254740992.0; }
     std::mt19937_64 random_;
     std::int64_t revision_;
-    unsigned tries_ = 0, refusals_ = 0;
+    unsigned attempts_ = 0, failures_ = 0;
 };
 
 }  // namespace spokewheel::registry
--- a/src/registry/endpoint_watcher.hpp
+++ b/src/registry/endpoint_watcher.hpp
@@ -1,6 +1,6 @@
-// Follows the platform's list over HTTP: a chunked answer that stays open, one JSON object after another, an
-// empty line now and then while nothing changes. A connection that is silent is not let go of before another
-// speaks. Goes on from the last revision for as long as it lives.
+// Follows the platform's list of disk servers over HTTP: a chunked response that stays open and delivers one
+// JSON object after another, with an empty line now and then while nothing changes. A silent connection is
+// kept until another one delivers data. Each new connection continues from the last revision received.
 #pragma once
 
 #include <array>
@@ -22,16 +22,16 @@
 class EndpointWatcher {
   public:
     using Update = std::function<void(Endpoints)>;
-    using Fault = std::function<void(WatchFault fault, const std::string& words)>;
-    // `heard` comes with each whole line of the list service that is followed now, the empty ones too, after
-    // what the line says was given to `update`. No callback may destroy the watch.
+    using Fault = std::function<void(WatchFault fault, const std::string& message)>;
+    // `onContact` is called for each complete line from the current list service, also an empty one, after
+    // `update` has been called with its content. No callback may destroy the watcher.
     EndpointWatcher(const io::Address& at, std::int64_t revision, std::uint64_t seed, Update update,
-                    Fault fault, std::function<void()> heard);
+                    Fault fault, std::function<void()> onContact);
     ~EndpointWatcher();
     EndpointWatcher(const EndpointWatcher&) = delete;
     EndpointWatcher& operator=(const EndpointWatcher&) = delete;
-    // The list service is elsewhere from now on. What is open to the old place is read until the new one
-    // speaks, but is not opened again.
+    // Follows the list service at another address from now on. Connections to the old address are read until
+    // the new one delivers data, but are not reopened.
     void moveTo(const io::Address& at);
     std::size_t connections() const { return open_.size(); }
     const std::array<std::uint64_t, static_cast<std::size_t>(WatchFault::Count)>& faults() const {
@@ -43,33 +43,33 @@
         io::Address at;
         std::shared_ptr<io::Connection> connection;
         wire::http::Parser parser{wire::http::Parser::Kind::Response};
-        JsonFrames frames{Watch::kMostValue};
-        double dueAt = 0;                 // without a word until then another is opened beside it
-        double openedAt = 0, wordAt = 0;  // when it was opened, and when a whole line came last
-        std::size_t progress = 0;         // bytes of a list since dueAt was last set
+        JsonFrames frames{WatchState::kMaxObjectBytes};
+        double timeoutAt = 0;  // if it is silent until then, another connection is opened beside it
+        double openedAt = 0, lastLineAt = 0;
+        std::size_t progress = 0;  // bytes of a list received since timeoutAt was last set
     };
     using StreamPtr = std::shared_ptr<Stream>;
     void connect();
-    void armNext();
+    void armNextAttempt();
     void makeRoom();
-    void noteProgress(const StreamPtr& s, std::size_t bytes);
-    void onData(const StreamPtr& s, std::string_view bytes);
-    bool onBody(const StreamPtr& s, std::string_view part);  // false where the stream has ended by it
-    void spoke(const StreamPtr& s);
-    void drop(const StreamPtr& s);
-    void failed(const StreamPtr& s, WatchFault fault, const std::string& words);
-    void tellFault(WatchFault fault, const std::string& words);
-    bool current(const Stream& s) const { return s.at.text() == at_.text(); }
+    void onProgress(const StreamPtr& stream, std::size_t bytes);
+    void onData(const StreamPtr& stream, std::string_view bytes);
+    bool onBody(const StreamPtr& stream, std::string_view part);  // false if it ended the stream
+    void onLine(const StreamPtr& stream);
+    void drop(const StreamPtr& stream);
+    void failed(const StreamPtr& stream, WatchFault fault, const std::string& message);
+    void reportFault(WatchFault fault, const std::string& message);
+    bool toCurrentAddress(const Stream& stream) const { return stream.at.text() == at_.text(); }
 
     io::Address at_;
-    Watch watch_;
+    WatchState watch_;
     Update update_;
     Fault fault_;
-    std::function<void()> heard_;
-    std::vector<StreamPtr> open_;  // the oldest first
-    double againAt_ = 0;           // where none is open
+    std::function<void()> onContact_;
+    std::vector<StreamPtr> open_;  // sorted by age, oldest first
+    double reconnectAt_ = 0;       // when to reconnect if no connection is open
     std::array<std::uint64_t, static_cast<std::size_t>(WatchFault::Count)> faults_{};
-    io::Timer next_;
+    io::Timer attemptTimer_;
 };
 
 }  // namespace spokewheel::registry
--- a/src/registry/endpoints.cpp
+++ b/src/registry/endpoints.cpp
@@ -15,61 +15,62 @@
     throw std::runtime_error("phase '" + phase + "' is not up, draining or removed");
 }
 
-// Figures are checked before they are cast: a number that doesn't fit is no number.
-std::int64_t whole(const json& value, const char* key, std::int64_t least, std::int64_t most) {
+// Checks the range before the conversion: a number that does not fit is an error.
+std::int64_t integerOf(const json& value, const char* key, std::int64_t min, std::int64_t max) {
     if (!value.is_number_integer() || (value.is_number_unsigned() && value.get<std::uint64_t>() > INT64_MAX))
-        throw std::runtime_error(std::string(key) + ": a whole number is wanted");
+        throw std::runtime_error(std::string(key) + ": must be an integer");
     const auto n = value.get<std::int64_t>();
-    if (n < least || n > most) throw std::runtime_error(std::string(key) + " is out of range");
+    if (n < min || n > max) throw std::runtime_error(std::string(key) + " is out of range");
     return n;
 }
-double figure(const json& member, const char* key, double otherwise) {
+double numberAt(const json& member, const char* key, double defaultValue) {
     const auto found = member.find(key);
-    if (found == member.end()) return otherwise;
+    if (found == member.end()) return defaultValue;
     const double n = found->is_number() ? found->get<double>() : -1;
-    if (!(n >= 0 && n < 1e15))
-        throw std::runtime_error(std::string(key) + ": a number of zero or more is wanted");
+    if (!(n >= 0 && n < 1e15)) throw std::runtime_error(std::string(key) + ": must be a number of 0 or more");
     return n;
 }
 
-void readMember(const json& m, NodeEntry& e, Endpoints& read) {
-    auto id = m.at("id").get<std::string>();
-    if (id.empty()) throw std::runtime_error("a member without an id");
-    e.node = std::move(id);
-    e.lifecycle = lifecycleOf(m.at("phase").get<std::string>());
-    e.zone = m.value("locality", std::string());
-    if (const auto cell = m.find("cell"); cell != m.end())
-        e.shard = static_cast<int>(whole(*cell, "cell", -1, 1 << 30));
-    e.sizeHint = figure(m, "size", 1);
-    e.cameUpMs = figure(m, "up_since_ms", 0);
-    if (e.lifecycle != Lifecycle::Gone) read.addresses[e.node] = m.at("host_port").get<std::string>();
+// Sets entry.node first, so that the caller knows the id even if a later field throws.
+void parseMember(const json& member, NodeEntry& entry, Endpoints& parsed) {
+    auto id = member.at("id").get<std::string>();
+    if (id.empty()) throw std::runtime_error("a member has no id");
+    entry.node = std::move(id);
+    entry.lifecycle = lifecycleOf(member.at("phase").get<std::string>());
+    entry.zone = member.value("locality", std::string());
+    if (const auto cell = member.find("cell"); cell != member.end())
+        entry.shard = static_cast<int>(integerOf(*cell, "cell", -1, 1 << 30));
+    entry.sizeHint = numberAt(member, "size", 1);
+    entry.cameUpMs = numberAt(member, "up_since_ms", 0);
+    if (entry.lifecycle != Lifecycle::Gone)
+        parsed.addresses[entry.node] = member.at("host_port").get<std::string>();
 }
 
 }  // namespace
 
-bool parseEndpoints(std::string_view text, Endpoints& out, std::string& words) {
+bool parseEndpoints(std::string_view text, Endpoints& out, std::string& error) {
     try {
         const auto list = json::parse(text);
-        Endpoints read;
-        read.revision = whole(list.at("revision"), "revision", 0, INT64_MAX);
-        read.complete = list.at("complete").get<bool>();
-        if (!list.at("members").is_array()) throw std::runtime_error("members: a list is wanted");
-        for (const auto& m : list.at("members")) {
-            NodeEntry e;
+        Endpoints parsed;
+        parsed.revision = integerOf(list.at("revision"), "revision", 0, INT64_MAX);
+        parsed.complete = list.at("complete").get<bool>();
+        if (!list.at("members").is_array()) throw std::runtime_error("members: must be a list");
+        for (const auto& member : list.at("members")) {
+            NodeEntry entry;
             try {
-                readMember(m, e, read);
-            } catch (const std::exception& fault) {
-                words = fault.what();
-                ++read.unreadable;
-                if (e.node.empty()) continue;
-                e.lifecycle = Lifecycle::Draining;
+                parseMember(member, entry, parsed);
+            } catch (const std::exception& invalid) {
+                error = invalid.what();
+                ++parsed.unreadable;
+                if (entry.node.empty()) continue;
+                entry.lifecycle = Lifecycle::Draining;
             }
-            read.entries.push_back(std::move(e));
+            parsed.entries.push_back(std::move(entry));
         }
-        out = std::move(read);
+        out = std::move(parsed);
         return true;
     } catch (const std::exception& e) {
-        words = e.what();
+        error = e.what();
         return false;
     }
 }
--- a/src/registry/endpoints.hpp
+++ b/src/registry/endpoints.hpp
@@ -1,5 +1,5 @@
-// The platform's list of disk servers: one JSON object into the module's entries and the addresses behind
-// them. Free of I/O and clocks.
+// Parses the platform's list of disk servers: one JSON object into node entries and the addresses of the
+// nodes. Free of I/O and clocks.
 #pragma once
 
 #include <cstdint>
@@ -14,15 +14,16 @@
 
 struct Endpoints {
     std::int64_t revision = 0;
-    bool complete = false;  // the whole list; otherwise what changed
+    bool complete = false;  // true: the full list; false: only the changes
     std::vector<NodeEntry> entries;
-    std::map<std::string, std::string> addresses;  // by id, of those that are not gone
-    // Entries that can't be read beside good ones: one with an id is taken as draining, so that nothing new
-    // goes there; one without is passed over.
+    std::map<std::string, std::string> addresses;  // by node id, without removed nodes
+    // Number of invalid entries. One that has an id counts as draining, so that it gets no new requests; one
+    // without an id is ignored.
     std::size_t unreadable = 0;
 };
 
-// False, with `words` for people, where the object can't be used. `words` is set for unreadable entries too.
-bool parseEndpoints(std::string_view json, Endpoints& out, std::string& words);
+// Returns false, with a human-readable `error`, if the object as a whole is invalid; `out` is then unchanged.
+// `error` is also set if single entries are invalid.
+bool parseEndpoints(std::string_view json, Endpoints& out, std::string& error);
 
 }  // namespace spokewheel::registry
--- a/src/registry/json_frames.hpp
+++ b/src/registry/json_frames.hpp
@@ -1,6 +1,6 @@
-// Takes a stream of JSON objects apart: one value after another, over as many lines as its writer likes, and
-// the empty lines between them. Knows depth, strings and escapes, nothing else: what a value means, and
-// whether it is one, is for the parser. Free of I/O and clocks; any split of the input gives the same.
+// Splits a stream into JSON objects, which may span lines, and the empty lines between them. Only tracks
+// nesting depth, strings and escapes; whether an object is valid JSON is for the parser to find. Free of I/O
+// and clocks. The result does not depend on how the input is split into chunks.
 #pragma once
 
 #include <cstddef>
@@ -12,13 +12,13 @@
 class JsonFrames {
   public:
     enum class Event {
-        NeedMore,   // all input was taken
-        BlankLine,  // the end of a line outside of a value
-        Object,     // object() holds a whole object
-        Invalid  // something that begins no object, or one that is too long; the stream can't be read further
+        NeedMore,   // all input was consumed
+        BlankLine,  // the end of a line outside of an object
+        Object,     // object() holds a complete object
+        Invalid     // data outside of an object, or an object that is too long; the stream is unusable
     };
-    explicit JsonFrames(std::size_t most) : most_(most) {}
-    // Takes from the front of `in` and tells what was found.
+    explicit JsonFrames(std::size_t maxObjectBytes) : maxObjectBytes_(maxObjectBytes) {}
+    // Consumes input from the front of `in` up to the next event.
     Event next(std::string_view& in) {
         if (depth_ == 0) object_.clear();
         for (std::size_t i = 0; i < in.size(); ++i) {
@@ -29,7 +29,7 @@
                 in.remove_prefix(i + 1);
                 return blank ? Event::BlankLine : Event::Invalid;
             }
-            if (object_.size() >= most_) return Event::Invalid;
+            if (object_.size() >= maxObjectBytes_) return Event::Invalid;
             object_ += c;
             if (quoted_) {
                 if (escaped_) escaped_ = false;
@@ -47,13 +47,13 @@
         in = {};
         return Event::NeedMore;
     }
-    // The object that was found last, until next() is called again.
+    // The object found last; valid until the next call of next().
     const std::string& object() const { return object_; }
-    // Bytes of an object that has not come whole yet.
+    // Bytes received of an incomplete object.
     std::size_t pending() const { return depth_ > 0 ? object_.size() : 0; }
 
   private:
-    std::size_t most_, depth_ = 0;
+    std::size_t maxObjectBytes_, depth_ = 0;
     bool quoted_ = false, escaped_ = false;
     std::string object_;
 };
--- a/src/registry/node_list_file.cpp
+++ b/src/registry/node_list_file.cpp
@@ -6,7 +6,7 @@
 namespace spokewheel::registry {
 namespace {
 
-constexpr double kLookMs = 1000, kSettleMs = 5;
+constexpr double kPollMs = 1000, kSettleMs = 5;
 
 }  // namespace
 
@@ -20,12 +20,12 @@
         g_signal_connect(monitor_, "changed",
                          G_CALLBACK(+[](GFileMonitor*, GFile*, GFile*, GFileMonitorEvent, gpointer self) {
                              auto* f = static_cast<NodeListFile*>(self);
-                             // A writer may be half-way: the last event of a burst counts.
-                             f->soon_.arm(kSettleMs, [f] { f->read(); });
+                             // The writer may not be finished: wait until events stop.
+                             f->settleTimer_.arm(kSettleMs, [f] { f->read(); });
                          }),
                          this);
     }
-    look();
+    poll();
 }
 
 NodeListFile::~NodeListFile() {
@@ -35,19 +35,19 @@
     g_object_unref(monitor_);
 }
 
-void NodeListFile::look() {
+void NodeListFile::poll() {
     read();
-    timer_.arm(kLookMs, [this] { look(); });
+    pollTimer_.arm(kPollMs, [this] { poll(); });
 }
 
 void NodeListFile::read() {
     std::ifstream in(path_, std::ios::binary);
     std::string text{std::istreambuf_iterator<char>(in), {}};
     if (in && text == text_) return;
-    config::ConfigErrors mistakes;
-    auto list = config::readNodeList(path_, mistakes);
-    if (!mistakes.empty()) {
-        if (text != text_ || !in) fault_(mistakes.front().text());
+    config::ConfigErrors errors;
+    auto list = config::readNodeList(path_, errors);
+    if (!errors.empty()) {
+        if (text != text_ || !in) fault_(errors.front().text());
         text_ = std::move(text);
         return;
     }
--- a/src/registry/node_list_poller.cpp
+++ b/src/registry/node_list_poller.cpp
@@ -9,9 +9,9 @@
 namespace spokewheel::registry {
 namespace {
 
-constexpr std::size_t kMostBody = 8 * 1024 * 1024;
+constexpr std::size_t kMaxBodyBytes = 8 * 1024 * 1024;
 
-bool same(const NodeEntry& a, const NodeEntry& b) {
+bool sameEntry(const NodeEntry& a, const NodeEntry& b) {
     return a.node == b.node && a.zone == b.zone && a.lifecycle == b.lifecycle && a.shard == b.shard &&
            a.cameUpMs == b.cameUpMs;
 }
@@ -25,7 +25,7 @@
     std::vector<NodeEntry> out;
     for (const auto& e : after) {
         const auto o = old.find(e.node);
-        if (o == old.end() || !same(*o->second, e)) out.push_back(e);
+        if (o == old.end() || !sameEntry(*o->second, e)) out.push_back(e);
         if (o != old.end()) old.erase(o);
     }
     for (const auto& [node, e] : old) {
@@ -36,20 +36,20 @@
 }
 
 NodeListPoller::NodeListPoller(const io::Address& registry, std::string cacheFile, std::uint64_t seed,
-                               Update update, Fault fault, std::function<void()> heard)
+                               Update update, Fault fault, std::function<void()> onContact)
     : registry_(registry),
       cacheFile_(std::move(cacheFile)),
       update_(std::move(update)),
       fault_(std::move(fault)),
-      heard_(std::move(heard)),
+      onContact_(std::move(onContact)),
       poll_(seed) {
     if (!cacheFile_.empty() && std::filesystem::exists(cacheFile_)) {
-        config::ConfigErrors mistakes;
-        auto list = config::readNodeList(cacheFile_, mistakes);
-        if (mistakes.empty()) {
+        config::ConfigErrors errors;
+        auto list = config::readNodeList(cacheFile_, errors);
+        if (errors.empty()) {
             known_ = list.entries;
             update_({ListForm::Cached, std::move(list.entries)});
-        } else fault_("kept list: " + mistakes.front().text());
+        } else fault_("cached list: " + errors.front().text());
     }
     query();
 }
@@ -58,35 +58,36 @@
     if (connection_) connection_->close();
 }
 
-void NodeListPoller::ask() {
+void NodeListPoller::pollNow() {
     if (!connection_) query();
 }
 
 void NodeListPoller::query() {
     timer_.cancel();
-    parser_ = wire::http::Parser(wire::http::Parser::Kind::Response, {16 * 1024, 64, kMostBody});
+    parser_ = wire::http::Parser(wire::http::Parser::Kind::Response, {16 * 1024, 64, kMaxBodyBytes});
     body_.clear();
     connection_ = io::Connection::dial(registry_);
-    if (!connection_->open()) return failed("registry cannot be reached");
+    if (!connection_->open()) return failed("cannot connect to the registry");
     connection_->handle({[this] {
                              connection_->write(wire::http::writeRequest(
                                  "GET",
                                  "/nodes?index=" + std::to_string(poll_.index()) +
-                                     "&wait=" + std::to_string(static_cast<int>(Poll::kWaitMs)),
+                                     "&wait=" + std::to_string(static_cast<int>(PollState::kBlockMs)),
                                  registry_.text(), {{"Connection", "close"}}, std::nullopt));
                          },
                          [this](std::string_view bytes) { onData(bytes); },
                          {},
                          [this](io::Closed) { failed("registry closed the connection"); }});
-    timer_.arm(Poll::kWaitMs + Poll::kLateMs, [this] { failed("registry did not answer"); });
+    timer_.arm(PollState::kBlockMs + PollState::kAnswerGraceMs,
+               [this] { failed("registry did not answer"); });
 }
 
-void NodeListPoller::failed(const std::string& words) {
+void NodeListPoller::failed(const std::string& message) {
     if (connection_) connection_->close();
     connection_.reset();
-    fault_(words);
+    fault_(message);
     update_({ListForm::Failed, {}});
-    timer_.arm(poll_.againMs(true), [this] { query(); });
+    timer_.arm(poll_.nextDelayMs(true), [this] { query(); });
 }
 
 void NodeListPoller::onData(std::string_view bytes) {
@@ -116,26 +117,26 @@
     if (head.status != 200 || !counted)
         return failed("registry answered with status " + std::to_string(head.status) +
                       (counted ? "" : " and no index"));
-    config::ConfigErrors mistakes;
-    auto list = config::parseNodeList(body_, "list of " + registry_.text(), mistakes);
-    if (!mistakes.empty()) return failed(mistakes.front().text());
+    config::ConfigErrors errors;
+    auto list = config::parseNodeList(body_, "list of " + registry_.text(), errors);
+    if (!errors.empty()) return failed(errors.front().text());
     connection_->close();
     connection_.reset();
-    keep(body_);
-    if (poll_.answered(index)) update_({ListForm::Full, list.entries});
+    writeCache(body_);
+    if (poll_.onAnswer(index)) update_({ListForm::Full, list.entries});
     else if (auto changed = diffNodeLists(known_, list.entries); !changed.empty())
         update_({ListForm::Delta, std::move(changed)});
     known_ = std::move(list.entries);
-    if (heard_) heard_();
-    timer_.arm(poll_.againMs(false), [this] { query(); });
+    if (onContact_) onContact_();
+    timer_.arm(poll_.nextDelayMs(false), [this] { query(); });
 }
 
-// Written beside and renamed: a host that dies here finds the old list or the new one.
-void NodeListPoller::keep(const std::string& text) const {
+// Writes a temporary file and renames it, so that a crash leaves either the old list or the new one.
+void NodeListPoller::writeCache(const std::string& text) const {
     if (cacheFile_.empty()) return;
     GError* error = nullptr;
     if (!g_file_set_contents(cacheFile_.c_str(), text.data(), static_cast<gssize>(text.size()), &error)) {
-        fault_(std::string("keeping the list: ") + error->message);
+        fault_(std::string("cannot write the list cache: ") + error->message);
         g_clear_error(&error);
     }
 }
--- a/src/registry/node_list_poller.hpp
+++ b/src/registry/node_list_poller.hpp
@@ -1,7 +1,7 @@
-// The node list over HTTP with blocking queries, as service catalogues publish it: GET /nodes with the index
-// last seen is held until something changed; the answer is the whole list in the file's form, its index in
-// X-Index. Whole lists, changes and failures are told apart; the last good list is kept on disk, so that a
-// started host knows something while the registry is out of reach.
+// The node list over HTTP with blocking queries, as service catalogues publish it. The registry holds GET
+// /nodes, which carries the last known index, until something changes; the answer is the full list in the
+// format of the list file, with its index in X-Index. Reports full lists, changes and failures. Keeps the
+// last valid list on disk, so that a restarted host has a list while the registry is unreachable.
 #pragma once
 
 #include <functional>
@@ -20,28 +20,28 @@
 class NodeListPoller {
   public:
     using Update = std::function<void(ListUpdate)>;
-    using Fault = std::function<void(const std::string& words)>;
-    // `cacheFile` empty: nothing is kept. The cached list, if there is one, is told before this returns.
-    // `heard` comes after each good answer of the registry, whether or not it had news.
+    using Fault = std::function<void(const std::string& message)>;
+    // An empty `cacheFile` disables the cache. A cached list, if there is one, is passed to `update` before
+    // the constructor returns. `onContact` is called after each valid answer of the registry, changed or not.
     NodeListPoller(const io::Address& registry, std::string cacheFile, std::uint64_t seed, Update update,
-                   Fault fault, std::function<void()> heard = {});
+                   Fault fault, std::function<void()> onContact = {});
     ~NodeListPoller();
-    // The module asks anew: at once where no query is out.
-    void ask();
+    // Starts a query now unless one is in progress.
+    void pollNow();
 
   private:
     void query();
     void onData(std::string_view bytes);
     void onAnswer();
-    void failed(const std::string& words);
-    void keep(const std::string& text) const;
+    void failed(const std::string& message);
+    void writeCache(const std::string& text) const;
 
     io::Address registry_;
     std::string cacheFile_;
     Update update_;
     Fault fault_;
-    std::function<void()> heard_;
-    Poll poll_;
+    std::function<void()> onContact_;
+    PollState poll_;
     std::shared_ptr<io::Connection> connection_;
     wire::http::Parser parser_{wire::http::Parser::Kind::Response};
     std::string body_;
@@ -49,7 +49,7 @@
     std::vector<NodeEntry> known_;
 };
 
-// What changed from one whole list to the next; entries that are gone come with that state.
+// Returns the entries that changed from one full list to the next; removed ones with lifecycle Gone.
 std::vector<NodeEntry> diffNodeLists(const std::vector<NodeEntry>& before,
                                      const std::vector<NodeEntry>& after);
 
--- a/src/registry/node_table.cpp
+++ b/src/registry/node_table.cpp
@@ -7,8 +7,8 @@
 namespace spokewheel::registry {
 namespace {
 
-constexpr std::size_t kMostGone = 2048;        // ids come and go all day
-constexpr std::size_t kForgottenAtOnce = 256;  // so that the walk over all is rare
+constexpr std::size_t kMaxRemoved = 2048;  // ids come and go all day
+constexpr std::size_t kForgetBatch = 256;  // so that the scan over all nodes is rare
 
 }  // namespace
 
@@ -27,49 +27,50 @@
 
 NodeTable::Change NodeTable::apply(Endpoints list, ListForm form, const ClockReading& clock) {
     Change change;
-    if (form == ListForm::Delta && list.revision <= revision_) return change;  // two watches told the same
+    if (form == ListForm::Delta && list.revision <= revision_) return change;  // a duplicate
     change.applied = true;
     revision_ = list.revision;
     ++version_;
-    starts_.read(clock, form != ListForm::Cached);
-    std::set<std::string> named;
-    for (auto& e : list.entries) {
-        named.insert(e.node);
-        auto& known = nodes_[e.node];
-        const bool older = list.revision < known.revision && e.cameUpMs <= known.toldStartMs;
-        const double toldStartMs = older ? known.toldStartMs : e.cameUpMs;
-        const bool newStart = starts_.isNewStart(e.node, toldStartMs);
-        e.cameUpMs = starts_.localStart(e.node, toldStartMs);
-        if (older && known.lifecycle != Lifecycle::Ready && e.lifecycle != Lifecycle::Gone)
-            e.lifecycle = known.lifecycle;
-        present_ += (e.lifecycle != Lifecycle::Gone) - (known.lifecycle != Lifecycle::Gone);
-        const auto at = list.addresses.find(e.node);
-        const std::string address = at == list.addresses.end() ? "" : at->second;
+    starts_.onList(clock, form != ListForm::Cached);
+    std::set<std::string> listed;
+    for (auto& entry : list.entries) {
+        listed.insert(entry.node);
+        auto& known = nodes_[entry.node];
+        const bool older = list.revision < known.revision && entry.cameUpMs <= known.reportedStartMs;
+        const double reportedStartMs = older ? known.reportedStartMs : entry.cameUpMs;
+        const bool newStart = starts_.isNewStart(entry.node, reportedStartMs);
+        entry.cameUpMs = starts_.localStart(entry.node, reportedStartMs);
+        if (older && known.lifecycle != Lifecycle::Ready && entry.lifecycle != Lifecycle::Gone)
+            entry.lifecycle = known.lifecycle;
+        present_ += (entry.lifecycle != Lifecycle::Gone) - (known.lifecycle != Lifecycle::Gone);
+        const auto found = list.addresses.find(entry.node);
+        const std::string address = found == list.addresses.end() ? "" : found->second;
         const bool moved = !known.address.empty() && known.address != address;
-        if (moved || e.lifecycle != Lifecycle::Ready || newStart) change.nodesToDisconnect.push_back(e.node);
-        known = {address, e.lifecycle, toldStartMs, std::max(known.revision, list.revision)};
+        if (moved || entry.lifecycle != Lifecycle::Ready || newStart)
+            change.nodesToDisconnect.push_back(entry.node);
+        known = {address, entry.lifecycle, reportedStartMs, std::max(known.revision, list.revision)};
     }
     if (form != ListForm::Delta)
         for (auto& [node, known] : nodes_)
-            if (!named.count(node) && known.lifecycle != Lifecycle::Gone) {
+            if (!listed.count(node) && known.lifecycle != Lifecycle::Gone) {
                 known.lifecycle = Lifecycle::Gone;
                 --present_;
                 known.revision = std::max(known.revision, list.revision);
                 change.nodesToDisconnect.push_back(node);
             }
-    forgetOldest();
+    forgetOldestRemoved();
     change.update = {form, std::move(list.entries)};
     return change;
 }
 
-void NodeTable::forgetOldest() {
-    if (nodes_.size() - present_ <= kMostGone + kForgottenAtOnce) return;
-    std::vector<std::pair<std::int64_t, std::string>> gone;
+void NodeTable::forgetOldestRemoved() {
+    if (nodes_.size() - present_ <= kMaxRemoved + kForgetBatch) return;
+    std::vector<std::pair<std::int64_t, std::string>> removed;
     for (const auto& [node, known] : nodes_)
-        if (known.lifecycle == Lifecycle::Gone) gone.emplace_back(known.revision, node);
-    std::sort(gone.begin(), gone.end());
-    gone.resize(gone.size() - kMostGone);
-    for (const auto& [revision, node] : gone) {
+        if (known.lifecycle == Lifecycle::Gone) removed.emplace_back(known.revision, node);
+    std::sort(removed.begin(), removed.end());
+    removed.resize(removed.size() - kMaxRemoved);
+    for (const auto& [revision, node] : removed) {
         starts_.forget(node);
         nodes_.erase(node);
     }
--- a/src/registry/node_table.hpp
+++ b/src/registry/node_table.hpp
@@ -1,6 +1,6 @@
-// What was told last of each node of the platform's list, and what a new word makes of it. Free of I/O and
-// clocks. A word that is older than what is known never makes a node more usable than it is known to be: an
-// agent that is behind must not undo a drain.
+// The current state of each node of the platform's list, and the changes that a newly received list makes to
+// it. Free of I/O and clocks. An older list never makes a node more usable than it is known to be: an agent
+// that lags behind must not undo a drain.
 #pragma once
 
 #include <cstdint>
@@ -18,38 +18,42 @@
 class NodeTable {
   public:
     struct Change {
-        bool applied = false;  // false: nothing to do
+        bool applied = false;  // false: the list was a duplicate, nothing to do
         ListUpdate update;
-        std::vector<std::string> nodesToDisconnect;  // nodes to which kept connections are of no use any more
+        std::vector<std::string> nodesToDisconnect;  // kept connections to these are no longer of use
     };
-    // Start times come out on the monotonic clock of `clock`.
+    // Applies a list. The start times in the result are on the monotonic clock of `clock`.
     Change apply(Endpoints list, ListForm form, const ClockReading& clock);
-    // The list service spoke, with or without news: what starts from now on is younger than this.
+    // The list service sent something, with or without changes: nodes reported as restarted later started
+    // after this.
     void noteContact(const ClockReading& clock) { starts_.noteContact(clock); }
-    // The clocks, read while nothing is said, so that a step between two words is seen.
+    // To be called while the list service is silent, so that a step of the wall clock in that time is
+    // detected.
     void observeClocks(const ClockReading& clock) { starts_.observeClocks(clock); }
-    // A peer says when the node came up, on the monotonic clock: apply() gives no earlier start from now on.
+    // Applies a start time that a peer reported, on the monotonic clock: apply() returns no earlier one from
+    // now on.
     void setEarliestStart(const std::string& node, double localMs) {
         starts_.setEarliestStart(node, localMs);
     }
-    // The nodes that take requests, with their starts on the monotonic clock (0: long ago).
+    // The nodes that accept requests, with their start times on the monotonic clock (0: long ago).
     std::vector<std::pair<std::string, double>> usableNodes() const;
-    // Where the node listens; nullptr where it is gone or was never told.
+    // The address that the node listens on; nullptr if it was removed or never listed.
     const std::string* address(const std::string& node) const;
     std::int64_t revision() const { return revision_; }
-    // Grows with each list that is applied.
+    // Increases with each list that is applied.
     std::uint64_t version() const { return version_; }
+    // The number of nodes that were not removed.
     std::size_t size() const { return present_; }
 
   private:
     struct Known {
         std::string address;
         Lifecycle lifecycle = Lifecycle::Gone;
-        double toldStartMs = 0;  // as the list said it
+        double reportedStartMs = 0;  // wall clock, as the list stated it
         std::int64_t revision = -1;
     };
-    void forgetOldest();
-    std::map<std::string, Known> nodes_;  // those that are gone too, some while
+    void forgetOldestRemoved();
+    std::map<std::string, Known> nodes_;  // includes removed ones for a while
     StartTimes starts_;
     std::int64_t revision_ = -1;
     std::uint64_t version_ = 0;
--- a/tests/gateway/confirmation_test.cpp
+++ b/tests/gateway/confirmation_test.cpp
@@ -1,4 +1,5 @@
-// What a started process takes from its peers while its agent is silent: the messages and the decision.
+// The membership messages with which a restarted process queries its peers while its agent is silent, and the
+// decision which nodes they confirm.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -90,7 +91,7 @@
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
         Confirmation confirmation(kPeers, kOwnRank, seed);
         const auto asked = confirmation.peersToQuery();
-        EXPECT_LE(asked.size(), Confirmation::kAskedAtOnce);
+        EXPECT_LE(asked.size(), Confirmation::kQueriesPerRound);
         EXPECT_FALSE(asked.empty());
         EXPECT_EQ(std::set<int>(asked.begin(), asked.end()).size(), asked.size());
         for (const int rank : asked) EXPECT_TRUE(rank >= 0 && rank < kPeers && rank != kOwnRank);
@@ -117,7 +118,7 @@
     confirmation.addPart(1, whole(members({"a", "b", "c"}), 9000), kNow);
     confirmation.addPart(2, whole(members({"a", "c"}), 8000), kNow);
     EXPECT_EQ(namesOf(*confirmation.confirmedNodes(kNow + 200)), digests({"a", "c"}));
-    // One that comes later takes away too.
+    // A later answer removes nodes too.
     confirmation.addPart(4, whole(members({"a"}), 8300), kNow + 300);
     EXPECT_EQ(namesOf(*confirmation.confirmedNodes(kNow + 300)), digests({"a"}));
 }
@@ -127,10 +128,10 @@
     confirmation.addPart(1, whole(members({"a"}), 3000), kNow);
     confirmation.addPart(2, whole(members({"a", "drained"}), 9000), kNow);
     EXPECT_EQ(namesOf(*confirmation.confirmedNodes(kNow + 200)), digests({"a"}));
-    Confirmation behind(kPeers, kOwnRank, 1);
-    behind.addPart(1, whole(members({"a", "b"}), 3000), kNow);
-    behind.addPart(2, whole(members({"a"}), 9000), kNow);  // has not heard of "b" yet
-    EXPECT_EQ(namesOf(*behind.confirmedNodes(kNow + 200)), digests({"a", "b"}));
+    Confirmation lagging(kPeers, kOwnRank, 1);
+    lagging.addPart(1, whole(members({"a", "b"}), 3000), kNow);
+    lagging.addPart(2, whole(members({"a"}), 9000), kNow);  // does not know "b" yet
+    EXPECT_EQ(namesOf(*lagging.confirmedNodes(kNow + 200)), digests({"a", "b"}));
 }
 
 TEST(Confirmation, AnAnswerOfWhichAPartIsLostIsAskedForAgainAndDoesNotCountBefore) {
@@ -146,7 +147,7 @@
     EXPECT_EQ(confirmation.peersToQuery().front(), 8);
     confirmation.addPart(8, part(1), kNow + 1000);
     EXPECT_EQ(confirmation.confirmedNodes(kNow + 1200)->startedAt.size(), ids.size());
-    // Parts of another version of its list don't complete it.
+    // Parts of another list version do not complete the answer.
     Confirmation changed(kPeers, kOwnRank, 1);
     changed.addPart(8, part(0), kNow);
     changed.addPart(8, part(2), kNow);
@@ -156,7 +157,7 @@
     EXPECT_FALSE(changed.confirmedNodes(kNow + 1000));
 }
 
-// Peers that died in the middle of their answers don't keep it from asking others.
+// Peers that crashed while answering must not prevent queries to others.
 TEST(Confirmation, IncompleteAnswersLeaveRoomForOtherPeers) {
     std::vector<std::string> ids;
     for (int i = 0; i < 80; ++i) ids.push_back("s-" + std::to_string(i));
--- a/tests/gateway/parts_test.cpp
+++ b/tests/gateway/parts_test.cpp
@@ -34,23 +34,23 @@
 }
 
 TEST(RegistryPoll, LossesAreTakenWholeAndFailuresWaitEverLonger) {
-    registry::Poll p(5);
-    EXPECT_TRUE(p.answered(7));
-    EXPECT_FALSE(p.answered(8));
-    EXPECT_TRUE(p.answered(3));  // the registry began anew
+    registry::PollState p(5);
+    EXPECT_TRUE(p.onAnswer(7));
+    EXPECT_FALSE(p.onAnswer(8));
+    EXPECT_TRUE(p.onAnswer(3));  // the registry lost its state
     EXPECT_EQ(p.index(), 0u);
-    EXPECT_EQ(p.againMs(false), 0);
+    EXPECT_EQ(p.nextDelayMs(false), 0);
     double before = 0;
     for (int i = 0; i < 5; ++i) {
-        const double wait = p.againMs(true), full = registry::Poll::kFirstMs * (1 << i);
-        EXPECT_GE(wait, std::min(registry::Poll::kMostMs, full) / 2);
-        EXPECT_LE(wait, std::min(registry::Poll::kMostMs, full));
+        const double wait = p.nextDelayMs(true), full = registry::PollState::kFirstRetryMs * (1 << i);
+        EXPECT_GE(wait, std::min(registry::PollState::kMaxRetryMs, full) / 2);
+        EXPECT_LE(wait, std::min(registry::PollState::kMaxRetryMs, full));
         before = wait;
     }
     EXPECT_GT(before, 1000);
-    EXPECT_TRUE(p.answered(9));  // what was missed is not known
-    registry::Poll q(6);
-    EXPECT_NE(registry::Poll(5).againMs(true), q.againMs(true));
+    EXPECT_TRUE(p.onAnswer(9));  // changes may have been missed meanwhile
+    registry::PollState q(6);
+    EXPECT_NE(registry::PollState(5).nextDelayMs(true), q.nextDelayMs(true));
 }
 
 TEST(RegistryList, ChangesNameWhatIsGone) {
--- a/tests/gateway/platform_list_test.cpp
+++ b/tests/gateway/platform_list_test.cpp
@@ -1,5 +1,6 @@
-// The list of disk servers in all its forms, and a watch that says nothing: what the agent has counts as told
-// 6 s after a watch fell silent, 4 s after a new configuration, and from the first moment of a process.
+// The platform's list of disk servers in all its forms, and watches that fall silent. What the agent has
+// published binds a scheduler 6 s after its watch fell silent, 4 s after a new configuration, and from the
+// start of a process.
 #include "platform_support.hpp"
 #include "registry/json_frames.hpp"
 #include "registry/node_table.hpp"
@@ -9,9 +10,10 @@
 
 using registry::JsonFrames;
 
-// The values and beats ('|') of a text, fed in pieces of `size` bytes.
-std::string framed(const std::string& text, std::size_t size, std::size_t most = 1000) {
-    JsonFrames frames(most);
+// The objects and blank lines ('|') found in `text`, which is fed in chunks of `size` bytes; '!' if it is
+// invalid.
+std::string framed(const std::string& text, std::size_t size, std::size_t maxObjectBytes = 1000) {
+    JsonFrames frames(maxObjectBytes);
     std::string out;
     for (std::size_t at = 0; at < text.size(); at += size) {
         std::string_view in = std::string_view(text).substr(at, size);
@@ -30,27 +32,28 @@
         EXPECT_EQ(framed(text, size), indented + "||{\"b\":1}{\"c\":2}|") << size;
     EXPECT_EQ(framed("\nnoise", 1), "|!");
     EXPECT_EQ(framed("{}]", 3), "{}!");
-    EXPECT_EQ(framed("{\"a\":\"" + std::string(50, 'x'), 7, 40), "!");  // bounded though it never ends
+    EXPECT_EQ(framed("{\"a\":\"" + std::string(50, 'x'), 7, 40),
+              "!");  // an object that never ends is limited in size
 }
 
-registry::Endpoints word(std::int64_t revision, bool complete, const std::string& members) {
+registry::Endpoints parsed(std::int64_t revision, bool complete, const std::string& members) {
     registry::Endpoints out;
-    std::string words;
-    EXPECT_TRUE(registry::parseEndpoints(listText(static_cast<int>(revision), complete, members), out, words))
-        << words;
+    std::string error;
+    EXPECT_TRUE(registry::parseEndpoints(listText(static_cast<int>(revision), complete, members), out, error))
+        << error;
     return out;
 }
 
 constexpr registry::ClockReading kClock{1000000, 1000000};
 
-// Guards against an agent that is behind: its list makes nothing more usable than it is known to be.
+// An agent that lags behind must not make a node usable again that is known to be draining or removed.
 TEST(NodeBook, AnOlderListUndoesNoDrain) {
-    registry::NodeTable book;
-    book.apply(word(50, true,
-                    member("a", "127.0.0.1:1", 0) + "," + member("b", "127.0.0.1:2", 1, "draining") + "," +
-                        member("c", "127.0.0.1:3", 2)),
-               ListForm::Full, kClock);
-    book.apply(word(51, false, member("c", "127.0.0.1:3", 2, "removed")), ListForm::Delta, kClock);
+    registry::NodeTable table;
+    table.apply(parsed(50, true,
+                       member("a", "127.0.0.1:1", 0) + "," + member("b", "127.0.0.1:2", 1, "draining") + "," +
+                           member("c", "127.0.0.1:3", 2)),
+                ListForm::Full, kClock);
+    table.apply(parsed(51, false, member("c", "127.0.0.1:3", 2, "removed")), ListForm::Delta, kClock);
     const auto phases = [](const registry::NodeTable::Change& change) {
         std::map<std::string, Lifecycle> out;
         for (const auto& e : change.update.entries) out[e.node] = e.lifecycle;
@@ -58,116 +61,120 @@
     };
     const auto all = member("a", "127.0.0.1:1", 0) + "," + member("b", "127.0.0.1:2", 1) + "," +
                      member("c", "127.0.0.1:3", 2);
-    const auto behind = phases(book.apply(word(45, true, all), ListForm::Full, kClock));
-    EXPECT_EQ(behind.at("a"), Lifecycle::Ready);
-    EXPECT_EQ(behind.at("b"), Lifecycle::Draining);
-    EXPECT_EQ(behind.at("c"), Lifecycle::Gone);
-    // Changes on the way to what was known already do not either; a later one does.
-    EXPECT_EQ(
-        phases(book.apply(word(46, false, member("b", "127.0.0.1:2", 1)), ListForm::Delta, kClock)).at("b"),
-        Lifecycle::Draining);
-    EXPECT_FALSE(book.apply(word(46, false, member("b", "127.0.0.1:2", 1)), ListForm::Delta, kClock).applied);
-    EXPECT_EQ(
-        phases(book.apply(word(52, false, member("b", "127.0.0.1:2", 1)), ListForm::Delta, kClock)).at("b"),
-        Lifecycle::Ready);
+    const auto lagging = phases(table.apply(parsed(45, true, all), ListForm::Full, kClock));
+    EXPECT_EQ(lagging.at("a"), Lifecycle::Ready);
+    EXPECT_EQ(lagging.at("b"), Lifecycle::Draining);
+    EXPECT_EQ(lagging.at("c"), Lifecycle::Gone);
+    // Neither do changes with a revision before the known one; a later change does.
+    EXPECT_EQ(phases(table.apply(parsed(46, false, member("b", "127.0.0.1:2", 1)), ListForm::Delta, kClock))
+                  .at("b"),
+              Lifecycle::Draining);
+    EXPECT_FALSE(
+        table.apply(parsed(46, false, member("b", "127.0.0.1:2", 1)), ListForm::Delta, kClock).applied);
+    EXPECT_EQ(phases(table.apply(parsed(52, false, member("b", "127.0.0.1:2", 1)), ListForm::Delta, kClock))
+                  .at("b"),
+              Lifecycle::Ready);
 }
 
 TEST(NodeBook, WhatStartedAnewMovedDrainsOrGoesIsRetired) {
     const auto retired = [](const std::string& members, bool complete) {
-        registry::NodeTable book;
-        book.apply(word(1, true, member("a", "127.0.0.1:1", 0)), ListForm::Full, kClock);
-        return book.apply(word(2, complete, members), complete ? ListForm::Full : ListForm::Delta, kClock)
+        registry::NodeTable table;
+        table.apply(parsed(1, true, member("a", "127.0.0.1:1", 0)), ListForm::Full, kClock);
+        return table.apply(parsed(2, complete, members), complete ? ListForm::Full : ListForm::Delta, kClock)
             .nodesToDisconnect.size();
     };
-    auto anew = member("a", "127.0.0.1:1", 0);
-    anew.replace(anew.find("up_since_ms\":0"), 14, "up_since_ms\":77");
+    auto restarted = member("a", "127.0.0.1:1", 0);
+    restarted.replace(restarted.find("up_since_ms\":0"), 14, "up_since_ms\":77");
     EXPECT_EQ(retired(member("a", "127.0.0.1:1", 0), false), 0u);
-    EXPECT_EQ(retired(anew, false), 1u);
+    EXPECT_EQ(retired(restarted, false), 1u);
     EXPECT_EQ(retired(member("a", "127.0.0.1:2", 0), false), 1u);
     EXPECT_EQ(retired(member("a", "127.0.0.1:1", 0, "draining"), false), 1u);
     EXPECT_EQ(retired("", true), 1u);
 }
 
-// Start times are told on a wall clock that may be stepped; ages are spans of real time.
+// Lists state start times by a wall clock that may be stepped, while ages are spans of real time.
 TEST(StartTimes, AStartIsAsOldAsItIsWhicheverWayTheWallClockWent) {
     constexpr double kWall = 1.8e12;
     for (const double step : {0.0, 3600e3, -3600e3, 5000.0, -5000.0}) {
         registry::StartTimes starts;
-        starts.read({1000, kWall});
+        starts.onList({1000, kWall});
         EXPECT_EQ(starts.localStart("a", 0), 0);
         EXPECT_EQ(starts.localStart("b", kWall - 1000),
-                  0);  // the first list: by the wall clock of its moment
+                  0);  // the first list is judged by the wall clock alone
         EXPECT_FALSE(starts.isNewStart("b", kWall - 1000));
-        // Both start anew 200 ms before the next list; "a" says so after the step, "b" before it.
-        starts.read({9000, kWall + 8000 + step});
+        // Both restart 200 ms before the next list; "a" reports the time after the step, "b" before it.
+        starts.onList({9000, kWall + 8000 + step});
         EXPECT_TRUE(starts.isNewStart("a", kWall + 7800 + step));
         const double heard = starts.localStart("a", kWall + 7800 + step);
         EXPECT_GE(heard, 8800);
         EXPECT_LE(heard, 9000);
         EXPECT_GE(starts.localStart("b", kWall + 7800), 8800);
         EXPECT_LE(starts.localStart("b", kWall + 7800), 9000);
-        // Told again it is the same start; one after the step has its true age.
-        starts.read({9500, kWall + 8500 + step});
+        // The same time reported again is the same start; a restart after the step gets its true age.
+        starts.onList({9500, kWall + 8500 + step});
         EXPECT_EQ(starts.localStart("a", kWall + 7800 + step), heard);
         EXPECT_EQ(starts.localStart("a", kWall + 8300 + step), 9300);
     }
 }
 
-// A start that the list service did not know when it spoke last is no older than that word, whatever is told.
+// A restart that the list service did not know at its last contact is not older than that contact, whatever
+// start time is reported.
 TEST(StartTimes, AStartIsNoOlderThanTheLastWordThatDidNotKnowIt) {
     constexpr double kWall = 1.8e12;
     const auto at = [](double nowMs) { return registry::ClockReading{nowMs, kWall + nowMs}; };
-    for (const double told : {-3600e3, -60e3, -5000.0, 3600e3, -600e3 - 1000}) {
+    for (const double reported : {-3600e3, -60e3, -5000.0, 3600e3, -600e3 - 1000}) {
         registry::StartTimes starts;
-        starts.read(at(1000));
+        starts.onList(at(1000));
         starts.localStart("a", kWall - 600e3);
         starts.noteContact(at(9000));  // an empty line
-        starts.read(at(9500));
-        EXPECT_EQ(starts.localStart("a", kWall + 9500 + told), 9500) << told;
-        EXPECT_EQ(starts.localStart("new", kWall + 9500 + told), 9500) << told;
+        starts.onList(at(9500));
+        EXPECT_EQ(starts.localStart("a", kWall + 9500 + reported), 9500) << reported;
+        EXPECT_EQ(starts.localStart("new", kWall + 9500 + reported), 9500) << reported;
     }
-    // A true one keeps its age.
+    // A plausible start time keeps its age.
     registry::StartTimes starts;
-    starts.read(at(1000));
+    starts.onList(at(1000));
     starts.localStart("a", 0);
     starts.noteContact(at(9000));
-    starts.read(at(9500));
+    starts.onList(at(9500));
     EXPECT_EQ(starts.localStart("a", kWall + 9200), 9200);
 }
 
-// After an outage of the list a start lies within the outage: it is not held back for longer.
+// After an outage of the list service a restart lies within the outage, so the node is not counted as
+// younger.
 TEST(StartTimes, AfterASilenceAStartIsNoOlderThanTheSilence) {
     constexpr double kWall = 1.8e12;
     registry::StartTimes starts;
-    starts.read({1000, kWall + 1000});
+    starts.onList({1000, kWall + 1000});
     starts.localStart("a", 0);
     starts.noteContact({9000, kWall + 9000});
-    starts.read({39000, kWall + 39000});
+    starts.onList({39000, kWall + 39000});
     EXPECT_EQ(starts.localStart("true", kWall + 20000), 20000);
     EXPECT_EQ(starts.localStart("a", kWall - 3600e3), 9000);
-    // Two steps that cancel in it are seen where the clocks were read between them; then nothing is known.
+    // Two clock steps that cancel each other are detected if the clocks were read between them; the start
+    // time is then the time of the report.
     registry::StartTimes stepped;
-    stepped.read({1000, kWall + 1000});
+    stepped.onList({1000, kWall + 1000});
     stepped.noteContact({9000, kWall + 9000});
     stepped.observeClocks({20000, kWall + 20000 - 3600e3});
     stepped.observeClocks({21000, kWall + 21000});
-    stepped.read({39000, kWall + 39000});
+    stepped.onList({39000, kWall + 39000});
     EXPECT_EQ(stepped.localStart("a", kWall + 15000), 39000);
 }
 
-// What a process remembers, or its configuration says, is no word of the list service.
+// A cached or configured list does not count as contact with the list service.
 TEST(StartTimes, TheFirstListIsJudgedByTheWallClockThoughAnotherWasRemembered) {
     constexpr double kWall = 1.8e12;
     registry::StartTimes starts;
-    starts.read({101000, kWall + 101000}, false);
+    starts.onList({101000, kWall + 101000}, false);
     starts.localStart("a", kWall - 600e3);
-    starts.read({101200, kWall + 101200});
+    starts.onList({101200, kWall + 101200});
     EXPECT_EQ(starts.localStart("a", kWall + 80000), 80000);
 }
 
-// An entry that can't be read beside good ones: the others count, and nothing new goes to it.
+// An invalid entry does not affect the valid ones; its node counts as draining.
 TEST(NodeBook, AnEntryThatCantBeReadIsNotSentTo) {
-    const auto list = word(
+    const auto list = parsed(
         2, true,
         member("a", "127.0.0.1:1", 0) + "," + member("b", "127.0.0.1:2", 1, "odd") + R"(,7,{"phase":"up"})");
     EXPECT_EQ(list.unreadable, 3u);
@@ -179,7 +186,7 @@
 class ListTest : public PlatformTest {
   protected:
     std::string drained() { return listText(43, false, member("s-1", disk->address(), 0, "draining")); }
-    // Whether a request goes to the disk server.
+    // Sends a request and returns whether it reaches the disk server.
     bool goesOut(const std::string& id) {
         auto c = client();
         const auto before = disk->requests();
@@ -200,19 +207,19 @@
         discovery->last().say(piece(indented.substr(at, 11)));
     ASSERT_TRUE(turn([&] { return !goesOut("b"); }));
     pass(50);
-    EXPECT_EQ(watches(), 1u);  // nothing had to be asked for again
+    EXPECT_EQ(watches(), 1u);  // no reconnect was needed
 }
 
-// Guards against a watch that fell silent: told 6 s later at the latest though two tries fail, while half a
-// line that drips says nothing either.
+// Guards against changes missed by a watch that fell silent: they must be known within 6 s even if two
+// attempts fail. Bytes of an incomplete line do not count as a sign of life.
 TEST_F(ListTest, ASilentWatchIsOpenedAnewInTimeThoughTwoTriesFail) {
     start();
     auto& silent = discovery->last();
     const double from = io::nowMs();
-    double dripped = 0;
+    double lastByteAt = 0;
     ASSERT_TRUE(turn(
         [&] {
-            if (io::nowMs() > dripped + 100) silent.say(piece(" ")), dripped = io::nowMs();
+            if (io::nowMs() > lastByteAt + 100) silent.say(piece(" ")), lastByteAt = io::nowMs();
             return watches() == 4;
         },
         6000));
@@ -221,7 +228,7 @@
     discovery->last().say(std::string(kWatchHead) + chunk(drained()));
     ASSERT_TRUE(turn([&] { return !goesOut("a"); }));
     EXPECT_LT(io::nowMs() - from, 6000);
-    // The others are let go of.
+    // The other connections are closed.
     ASSERT_TRUE(turn([&] {
         std::size_t open = 0;
         for (const auto& t : discovery->taken) open += !t->closed;
@@ -229,7 +236,7 @@
     }));
 }
 
-// Guards against a list service that was down and speaks on the old connection first: heard at once.
+// A list service that recovers may send on the old connection first; that data must be used at once.
 TEST_F(ListTest, AnOldConnectionThatSpeaksAgainCounts) {
     start();
     auto& old = discovery->last();
@@ -241,8 +248,8 @@
     EXPECT_TRUE(turn([&] { return tried->closed; }));
 }
 
-// A new configuration counts as told 4 s later, though the first try at the new place is not answered and the
-// old one goes on speaking.
+// A list at a new address must be known within 4 s of the new configuration, even if the first attempt there
+// gets no answer while the old connection still sends lines.
 TEST_F(ListTest, AMoveIsHeardInTimeThoughTheFirstTryFails) {
     start();
     auto& old = discovery->last();
@@ -262,8 +269,8 @@
     EXPECT_TRUE(old.closed);
 }
 
-// Guards against the first moments of a process, in which the list it was started with may be older than what
-// the agent has: nothing is sent, and no client called, before the agent is heard.
+// The configured list of a starting process may be older than the agent's: the process must send nothing and
+// not report ready before the agent has answered.
 TEST_F(ListTest, AStartedSchedulerHearsTheListFirst) {
     raise();
     ASSERT_TRUE(turn([&] { return watches() == 1; }));
@@ -278,11 +285,11 @@
     EXPECT_EQ(disk->requests(), 0u);
 }
 
-// The agent is silent and no peer can be asked. The process is ready in time, for nine of ten restarted ones
-// have to be within 6 s where the day ends sooner, but it sends nothing by the configuration's list, which
-// may miss a drain: what is asked for is refused with a promise of no effect, or waits for the agent's word.
-// (Before, this test asked for the opposite: that the list be used after 2.5 s. That broke the drain rule,
-// see docs/incidents/2026-12-03-start-in-an-outage.md.)
+// The agent is silent and there is no peer to query. The process must be ready in time, because nine of ten
+// restarted processes have to be ready within 6 s if the run ends soon. It must not send by the configured
+// list, which may miss a drain: requests are refused with a promise of no effect or wait for the agent's
+// answer. (Using that list after 2.5 s broke the drain rule, see
+// docs/incidents/2026-12-03-start-in-an-outage.md.)
 TEST_F(ListTest, AStartDuringAnOutageIsReadyInTimeAndSendsNothingWithoutAWord) {
     raise();
     const double from = io::nowMs();
@@ -302,19 +309,20 @@
     EXPECT_TRUE(turn([&] { return disk->requests() == 1; }));
 }
 
-// A list service that is slow: a long list arrives over 9 s, on each connection from its start. It is taken.
+// A slow list service: each connection receives a long list from its beginning over 9 s. The list must be
+// used.
 TEST_F(ListTest, ALongListThatArrivesSlowlyIsTaken) {
     start();
     disk->onRequest = [](Taken& t) { t.say(served("x")); };
-    struct Feed {
+    struct Transfer {
         Taken* to;
         std::size_t next;
         double at;
     };
-    std::vector<Feed> feeds;
+    std::vector<Transfer> transfers;
     discovery->onRequest = [&](Taken& t) {
         t.say(kWatchHead);
-        feeds.push_back({&t, 0, io::nowMs()});
+        transfers.push_back({&t, 0, io::nowMs()});
     };
     std::string members = member("s-1", disk->address(), 0, "draining");
     for (int i = 0; i < 4000; ++i) members += "," + member("x-" + std::to_string(i), disk->address(), 9 + i);
@@ -322,29 +330,29 @@
     const std::size_t pieceSize = list.size() / 90 + 1;
     const double from = io::nowMs();
     bool drained = false;
-    double asked = from;
+    double checkedAt = from;
     ASSERT_TRUE(turn(
         [&] {
-            for (auto& f : feeds)
+            for (auto& f : transfers)
                 if (!f.to->closed && f.next < list.size() && io::nowMs() >= f.at) {
                     f.to->say(piece(list.substr(f.next, pieceSize)));
                     f.next += pieceSize;
                     f.at += 100;
                 }
-            if (io::nowMs() < asked + 500) return drained;
-            asked = io::nowMs();
-            return drained = !goesOut("q" + std::to_string(static_cast<long>(asked)));
+            if (io::nowMs() < checkedAt + 500) return drained;
+            checkedAt = io::nowMs();
+            return drained = !goesOut("q" + std::to_string(static_cast<long>(checkedAt)));
         },
         16000));
 }
 
-// A list service that is crowded: each connection gets its answer 5.6 s after it asked.
+// An overloaded list service: each connection gets its answer 5.6 s after the request.
 TEST_F(ListTest, AListServiceThatAnswersLateIsHeard) {
     start();
     disk->onRequest = [](Taken& t) { t.say(served("x")); };
     std::vector<std::pair<Taken*, double>> late;
     discovery->onRequest = [&](Taken& t) { late.emplace_back(&t, io::nowMs() + 5600); };
-    double asked = io::nowMs();
+    double checkedAt = io::nowMs();
     ASSERT_TRUE(turn(
         [&] {
             for (auto& [t, at] : late)
@@ -352,9 +360,9 @@
                     t->say(std::string(kWatchHead) + chunk(drained()));
                     at = 0;
                 }
-            if (io::nowMs() < asked + 500) return false;
-            asked = io::nowMs();
-            return !goesOut("q" + std::to_string(static_cast<long>(asked)));
+            if (io::nowMs() < checkedAt + 500) return false;
+            checkedAt = io::nowMs();
+            return !goesOut("q" + std::to_string(static_cast<long>(checkedAt)));
         },
         14000));
 }
