--- a/src/catalogue/catalogue.cpp
+++ b/src/catalogue/catalogue.cpp
@@ -5,11 +5,11 @@
 namespace spokewheel::catalogue {
 
 void Catalogue::addVersion(const std::string& volume, FileVersion version) {
-    auto& shown = volumes_[volume][version.path];
-    if (shown && shown->id == version.id && shown->shard != version.shard) ++duplicates_;
-    if (shown && !supersedes(version, *shown)) return;
-    if (!shown) ++count_;
-    shown = std::make_shared<const FileVersion>(std::move(version));
+    auto& current = volumes_[volume][version.path];
+    if (current && current->id == version.id && current->shard != version.shard) ++duplicates_;
+    if (current && !supersedes(version, *current)) return;
+    if (!current) ++count_;
+    current = std::make_shared<const FileVersion>(std::move(version));
 }
 
 void Catalogue::forgetShard(int shard) {
@@ -47,14 +47,14 @@
 }
 
 Catalogue::Page Catalogue::pageBelow(const std::string& volume, const std::string& directory,
-                                     const std::string& after, std::size_t most) const {
+                                     const std::string& after, std::size_t maxPaths) const {
     Page out;
     const auto v = volumes_.find(volume);
     if (v == volumes_.end()) return out;
     const auto prefix = directory.empty() ? "" : directory + "/";
     auto it = after.empty() ? v->second.lower_bound(prefix) : v->second.upper_bound(after);
     for (; it != v->second.end() && it->first.compare(0, prefix.size(), prefix) == 0; ++it) {
-        out.more = most-- == 0;
+        out.more = maxPaths-- == 0;
         if (out.more) return out;
         out.last = it->first;
         if (it->second->kind != Kind::Deleted) out.entries.push_back(it->second);
--- a/src/catalogue/catalogue.hpp
+++ b/src/catalogue/catalogue.hpp
@@ -1,5 +1,5 @@
-// What lies where: for each volume the shown version of each path, built from the nodes' feeds of changes.
-// In memory only: a started host reads all feeds anew. Nothing here blocks or does I/O.
+// The catalogue: the current version of each path of each volume, built from the change feeds of the nodes.
+// Kept in memory only; a restarted host reads all feeds from the start. Nothing here blocks or does I/O.
 #pragma once
 
 #include <cstdint>
@@ -19,32 +19,40 @@
 
 class Catalogue {
   public:
-    // A version found at a node, or stored just now by this host. Older ones than the shown change nothing.
+    // Adds a version found on a node or just stored by this host. It replaces the current version of its path
+    // only if it supersedes it.
     void addVersion(const std::string& volume, FileVersion version);
-    // A node lost or changed its store: all that was known of the shard is dropped; the feeds are read anew.
+    // Drops all versions of a shard whose node lost or replaced its store. Versions of other shards that they
+    // superseded are current again, so the caller must read all feeds from the start.
     void forgetShard(int shard);
 
-    // nullptr where the path is not there or is gone.
+    // Returns nullptr if the path does not exist or was deleted.
     FileVersionPtr find(const std::string& volume, const std::string& path) const;
-    // The version a new upload to the path replaces: also that of a deleted one; 0 where there was none.
+    // The version number that a new upload to the path replaces, also if the path was deleted; 0 if there is
+    // none.
     std::uint64_t baseVersion(const std::string& volume, const std::string& path) const;
-    // All shown below `directory` ("" for the top), in the order of paths; the directory itself is left out.
+    // All existing entries below `directory` ("" for the root of the volume), sorted by path, without the
+    // directory itself.
     std::vector<FileVersionPtr> entriesBelow(const std::string& volume, const std::string& directory) const;
-    // A part of the same, for walks in steps: of the `most` paths behind `after` ("": from the first) those
-    // that are shown. What changes meanwhile behind the place reached is seen, what lies before it is not.
+    // One page of entriesBelow(), for iteration in bounded steps.
     struct Page {
         std::vector<FileVersionPtr> entries;
-        std::string last;  // path looked at last: `after` of the next part
+        std::string last;  // the path examined last: `after` of the next call
         bool more = false;
     };
+    // Examines up to `maxPaths` paths that follow `after` ("" to begin) and returns those that exist. Changes
+    // made between two calls are seen if they lie behind `after`, and missed if they lie before it.
     Page pageBelow(const std::string& volume, const std::string& directory, const std::string& after,
-                   std::size_t most) const;
-    // How many are shown below it, gone ones counted too: an upper bound that costs no copies.
+                   std::size_t maxPaths) const;
+    // The number of paths below a directory, deleted ones included: an upper bound of the existing entries
+    // that needs no copies.
     std::size_t countBelow(const std::string& volume, const std::string& directory) const;
-    // Whether something lies below the path, or it is a directory of its own.
+    // Whether the path is a directory entry or any entry exists below it.
     bool isDirectory(const std::string& volume, const std::string& path) const;
+    // The number of paths, deleted ones included.
     std::size_t size() const { return count_; }
-    // Versions found twice with one id, at two shards (an upload made again that landed on another node).
+    // How often a version was found with the same id on another shard (a repeated upload that went to another
+    // node).
     std::uint64_t duplicates() const { return duplicates_; }
 
   private:
--- a/src/catalogue/fields.hpp
+++ b/src/catalogue/fields.hpp
@@ -1,4 +1,4 @@
-// Fields of a line or a header as the catalogue's text forms have them. No I/O.
+// Splits lines and headers of the text formats of the catalogue into fields. No I/O.
 #pragma once
 
 #include <algorithm>
@@ -6,12 +6,12 @@
 
 namespace spokewheel::catalogue {
 
-// The next part of `text` up to `by`, taken off it.
-inline std::string_view nextField(std::string_view& text, char by) {
-    const auto at = std::min(text.find(by), text.size());
-    const auto part = text.substr(0, at);
-    text.remove_prefix(std::min(at + 1, text.size()));
-    return part;
+// Removes and returns the front of `text` up to `separator` (or the end); the separator is removed too.
+inline std::string_view nextField(std::string_view& text, char separator) {
+    const auto end = std::min(text.find(separator), text.size());
+    const auto field = text.substr(0, end);
+    text.remove_prefix(std::min(end + 1, text.size()));
+    return field;
 }
 
 }  // namespace spokewheel::catalogue
--- a/src/catalogue/file_version.cpp
+++ b/src/catalogue/file_version.cpp
@@ -15,7 +15,7 @@
 using wire::http::unescape;
 
 template <class T>
-bool number(std::string_view text, T& value) {
+bool parseNumber(std::string_view text, T& value) {
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     return !text.empty() && error == std::errc() && end == text.data() + text.size();
 }
@@ -45,32 +45,32 @@
 
 std::optional<FileVersion> decode(std::string_view text) {
     FileVersion v;
-    bool form = false;
+    bool supported = false;
     while (!text.empty()) {
         auto value = nextField(text, '&');
         const auto name = nextField(value, '=');
-        bool fine = true;
-        if (name == "f") form = value == "1", fine = form;
+        bool valid = true;
+        if (name == "f") supported = value == "1", valid = supported;
         else if (name == "kind") {
-            fine = value == "file" || value == "directory" || value == "gone";
+            valid = value == "file" || value == "directory" || value == "gone";
             v.kind = value == "file" ? Kind::File : value == "gone" ? Kind::Deleted : Kind::Directory;
         } else if (name == "layout") {
-            fine = value == "manifest";
+            valid = value == "manifest";
             v.layout = Layout::Manifest;
-        } else if (name == "size") fine = number(value, v.size);
-        else if (name == "mtime") fine = number(value, v.mtime);
-        else if (name == "nsec") fine = number(value, v.nsec) && v.nsec < 1000000000;
-        else if (name == "mode") fine = number(value, v.mode);
-        else if (name == "version") fine = number(value, v.version);
-        else if (name == "digest") fine = isHex(value, 32), v.digest = value;
+        } else if (name == "size") valid = parseNumber(value, v.size);
+        else if (name == "mtime") valid = parseNumber(value, v.mtime);
+        else if (name == "nsec") valid = parseNumber(value, v.nsec) && v.nsec < 1000000000;
+        else if (name == "mode") valid = parseNumber(value, v.mode);
+        else if (name == "version") valid = parseNumber(value, v.version);
+        else if (name == "digest") valid = isHex(value, 32), v.digest = value;
         else if (name == "path") {
             const auto path = unescape(value);
-            fine = path.has_value();
-            if (fine) v.path = *path;
-        }  // others: of a later form of this version, passed over
-        if (!fine) return std::nullopt;
+            valid = path.has_value();
+            if (valid) v.path = *path;
+        }  // unknown names come from later extensions of this format and are ignored
+        if (!valid) return std::nullopt;
     }
-    if (!form || v.path.empty() || v.version == 0) return std::nullopt;
+    if (!supported || v.path.empty() || v.version == 0) return std::nullopt;
     return v;
 }
 
@@ -89,12 +89,12 @@
     while (!text.empty()) {
         auto line = nextField(text, '\n');
         Piece p;
-        const bool shard = number(nextField(line, ' '), p.shard);
+        const bool shard = parseNumber(nextField(line, ' '), p.shard);
         p.object = nextField(line, ' ');
-        const bool known = (p.object.rfind("p/", 0) == 0 || p.object.rfind("o/", 0) == 0) &&
-                           isHex(std::string_view(p.object).substr(2), 32);
-        const bool fine = shard && known && number(nextField(line, ' '), p.size) && isHex(line, 32);
-        if (!fine || out.size() >= kMaxPieces || p.size > size - sum) return std::nullopt;
+        const bool validName = (p.object.rfind("p/", 0) == 0 || p.object.rfind("o/", 0) == 0) &&
+                               isHex(std::string_view(p.object).substr(2), 32);
+        const bool valid = shard && validName && parseNumber(nextField(line, ' '), p.size) && isHex(line, 32);
+        if (!valid || out.size() >= kMaxPieces || p.size > size - sum) return std::nullopt;
         p.digest = line;
         sum += p.size;
         out.push_back(std::move(p));
--- a/src/log/descriptor_sink.cpp
+++ b/src/log/descriptor_sink.cpp
@@ -11,7 +11,7 @@
 namespace spokewheel::log {
 namespace {
 
-constexpr int kMostInterrupts = 3;
+constexpr int kMaxInterrupts = 3;
 
 }  // namespace
 
@@ -20,16 +20,16 @@
     regularFile_ = fstat(descriptor, &status) == 0 && S_ISREG(status.st_mode);
 }
 
-// A pipe that polls writable takes PIPE_BUF bytes whole and at once (pipe(7)).
-bool DescriptorSink::wouldWait() const {
+// A pipe that poll() reports as writable accepts PIPE_BUF bytes at once and atomically (pipe(7)).
+bool DescriptorSink::wouldBlock() const {
     if (regularFile_) return false;
     pollfd writable{descriptor_, POLLOUT, 0};
     return poll(&writable, 1, 0) != 1 || !(writable.revents & POLLOUT);
 }
 
-bool DescriptorSink::writeAtOnce(std::string_view line) {
-    if (line.size() > PIPE_BUF || wouldWait()) return false;
-    for (int i = 0; i < kMostInterrupts; ++i) {
+bool DescriptorSink::writeWithoutBlocking(std::string_view line) {
+    if (line.size() > PIPE_BUF || wouldBlock()) return false;
+    for (int i = 0; i < kMaxInterrupts; ++i) {
         const ssize_t written = ::write(descriptor_, line.data(), line.size());
         if (written >= 0) return static_cast<std::size_t>(written) == line.size();
         if (errno != EINTR) return false;
@@ -42,11 +42,11 @@
         const auto notice =
             "{\"level\":\"warning\",\"event\":\"log_lines_lost\",\"count\":" + std::to_string(dropped_) +
             "}\n";
-        if (writeAtOnce(notice)) dropped_ = 0;
+        if (writeWithoutBlocking(notice)) dropped_ = 0;
     }
     spdlog::memory_buf_t line;
     formatter_->format(message, line);
-    if (dropped_ > 0 || !writeAtOnce({line.data(), line.size()})) ++dropped_;
+    if (dropped_ > 0 || !writeWithoutBlocking({line.data(), line.size()})) ++dropped_;
 }
 
 }  // namespace spokewheel::log
--- a/src/log/descriptor_sink.hpp
+++ b/src/log/descriptor_sink.hpp
@@ -1,5 +1,5 @@
-// Writes log lines to a descriptor without ever waiting for whoever reads it: a line that can't be written at
-// once is dropped and counted, and the next one that can be is preceded by a line with the count.
+// Writes log lines to a descriptor without ever blocking on its reader. A line that cannot be written
+// immediately is dropped and counted; the next line that can be written is preceded by a line with the count.
 #pragma once
 
 #include <spdlog/details/null_mutex.h>
@@ -12,17 +12,18 @@
 
 class DescriptorSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
   public:
-    // The descriptor stays its owner's and open.
+    // Does not take ownership of the descriptor, which must stay open.
     explicit DescriptorSink(int descriptor);
-    std::uint64_t dropped() const { return dropped_; }  // not told of yet
+    // Dropped lines that have not been reported yet.
+    std::uint64_t dropped() const { return dropped_; }
 
   protected:
     void sink_it_(const spdlog::details::log_msg& message) override;
     void flush_() override {}
 
   private:
-    bool writeAtOnce(std::string_view line);
-    bool wouldWait() const;
+    bool writeWithoutBlocking(std::string_view line);
+    bool wouldBlock() const;
 
     int descriptor_;
     bool regularFile_;
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -25,7 +25,8 @@
     logger_->set_level(spdlog::level::from_str(level));
     logger_->set_pattern("{\"at\":\"%Y-%m-%dT%H:%M:%S.%e%z\",\"level\":\"%l\",%v}");
     logger_->flush_on(spdlog::level::info);
-    // A full disk loses lines; the library would write of it to standard error, which may be a full pipe.
+    // Lines are lost silently when the disk is full: spdlog would report that to standard error, which may be
+    // a pipe that nobody reads.
     logger_->set_error_handler([](const std::string&) {});
 }
 Log::~Log() { flush(); }
@@ -46,25 +47,25 @@
     return out + "\"";
 }
 
-void Log::event(Level level, std::string_view name, Fields pairs, double nowMs) {
-    const auto l = level == Level::Debug  ? spdlog::level::debug
-                   : level == Level::Info ? spdlog::level::info
-                   : level == Level::Warn ? spdlog::level::warn
-                                          : spdlog::level::err;
-    if (!logger_->should_log(l)) return;
-    auto found = kinds_.find(name);
-    if (found == kinds_.end()) found = kinds_.emplace(std::string(name), Kind{}).first;
-    auto& kind = found->second;
-    if (nowMs >= kind.windowFrom + 1000) kind.windowFrom = nowMs, kind.inWindow = 0;
-    if (++kind.inWindow > kMostASecond) {
-        ++kind.leftOut;
+void Log::event(Level level, std::string_view name, Fields fields, double nowMs) {
+    const auto spdlogLevel = level == Level::Debug  ? spdlog::level::debug
+                             : level == Level::Info ? spdlog::level::info
+                             : level == Level::Warn ? spdlog::level::warn
+                                                    : spdlog::level::err;
+    if (!logger_->should_log(spdlogLevel)) return;
+    auto found = limits_.find(name);
+    if (found == limits_.end()) found = limits_.emplace(std::string(name), RateLimit{}).first;
+    auto& limit = found->second;
+    if (nowMs >= limit.windowStart + 1000) limit.windowStart = nowMs, limit.inWindow = 0;
+    if (++limit.inWindow > kMaxPerSecond) {
+        ++limit.suppressed;
         return;
     }
     std::string line = "\"event\":" + quoted(name) + ",\"host\":" + quoted(host_);
-    for (const auto& [key, value] : pairs)
+    for (const auto& [key, value] : fields)
         if (!value.empty()) line += "," + quoted(key) + ":" + quoted(value);
-    if (kind.leftOut) line += ",\"left_out\":" + std::to_string(std::exchange(kind.leftOut, 0));
-    logger_->log(l, "{}", line);
+    if (limit.suppressed) line += ",\"left_out\":" + std::to_string(std::exchange(limit.suppressed, 0));
+    logger_->log(spdlogLevel, "{}", line);
 }
 
 }  // namespace spokewheel::log
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -1,5 +1,5 @@
-// Structured logs: one JSON object a line, with stable event names, on spdlog. Each kind of event is limited
-// to a rate; how many were left out is told with the next one that is let through.
+// Structured logging with spdlog: one JSON object per line, with stable event names. Each event name is
+// limited in rate; the number of suppressed lines is added to the next line of that event.
 #pragma once
 
 #include <cstdint>
@@ -21,23 +21,25 @@
 
 class Log {
   public:
-    // To standard error where `file` is empty. Throws std::runtime_error where the file can't be opened.
+    // Logs to standard error if `file` is empty. Throws std::runtime_error if the file cannot be opened.
     Log(const std::string& file, const std::string& level, std::string host);
     ~Log();
-    void event(Level level, std::string_view name, Fields pairs, double nowMs);
+    // Writes one event with its fields, leaving out empty values. `nowMs`: monotonic time, for the rate
+    // limit.
+    void event(Level level, std::string_view name, Fields fields, double nowMs);
     void flush();
-    // The text of a JSON string, quotes included; bytes that are not UTF-8 come as \u00XX.
+    // Returns the text as a JSON string literal with quotes; bytes other than printable ASCII become \u00XX.
     static std::string quoted(std::string_view text);
 
   private:
-    struct Kind {
-        double windowFrom = 0;
-        std::uint64_t inWindow = 0, leftOut = 0;
+    struct RateLimit {
+        double windowStart = 0;
+        std::uint64_t inWindow = 0, suppressed = 0;
     };
-    static constexpr std::uint64_t kMostASecond = 100;
+    static constexpr std::uint64_t kMaxPerSecond = 100;
     std::shared_ptr<spdlog::logger> logger_;
     std::string host_;
-    std::map<std::string, Kind, std::less<>> kinds_;
+    std::map<std::string, RateLimit, std::less<>> limits_;
 };
 
 }  // namespace spokewheel::log
