--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -56,27 +56,27 @@
     settings.maxAttempts = static_cast<int>(rules.integer("attempts", 3, 1, 20));
     settings.answerGraceMs = rules.number("answer-grace-ms", 20, 0, kMaxMs);
     settings.drainGraceMs = rules.number("drain-grace-ms", 1000, 0, kMaxMs);
-    settings.settleMs = rules.number("settle-ms", 100, 0, kMaxMs);
+    settings.settleAfterDoubtMs = rules.number("settle-ms", 100, 0, kMaxMs);
     auto cold = rules.section("cold");
     settings.coldUnits = cold.number("units", 32, 0, kMaxRate);
     settings.coldMs = cold.number("ms", 15000, 0, kMaxMs);
     settings.coldShare = cold.number("share", 0.2, 0, 1);
-    settings.tipMultiple = cold.number("multiple", 2, 1, 1000);
-    settings.fallMs = cold.number("fall-ms", 1000, 0, kMaxMs);
+    settings.overloadFactor = cold.number("multiple", 2, 1, 1000);
+    settings.overloadSpanMs = cold.number("fall-ms", 1000, 0, kMaxMs);
     cold.rejectUnknownKeys();
     auto budget = rules.section("budget");
-    settings.extraFloor = budget.number("floor", 3, 0, 1e6);
-    settings.extraShare = budget.number("share", 0.1, 0, 1);
-    settings.extraSpanMs = budget.number("span-ms", 0, 0, kMaxMs);
+    settings.retryBudgetFloor = budget.number("floor", 3, 0, 1e6);
+    settings.retryBudgetShare = budget.number("share", 0.1, 0, 1);
+    settings.retryBudgetSpanMs = budget.number("span-ms", 0, 0, kMaxMs);
     budget.rejectUnknownKeys();
-    settings.meterMs = rules.number("meter-ms", 0, 0, kMaxMs);
+    settings.usagePeriodMs = rules.number("meter-ms", 0, 0, kMaxMs);
     rules.rejectUnknownKeys();
 
     auto worth = top.section("worth");
     settings.fairWorth = worth.number("fair", 0.35, 0, 1);
     settings.spareWorth = worth.number("spare", 0.05, 0, 1);
     worth.rejectUnknownKeys();
-    settings.mayTellPeers = settings.hosts > 1;
+    settings.maySendToPeers = settings.hosts > 1;
     settings.mayCancel = true;
     settings.tickMs = 1;
 }
@@ -90,12 +90,12 @@
             {{"repeatable", Effect::Repeatable}, {"keyed", Effect::ByKey}, {"once", Effect::Once}}, true);
         requestClass.group = section.choice(
             "group", Group::Cell, {{"all", Group::All}, {"zone", Group::Zone}, {"cell", Group::Cell}});
-        requestClass.aimMs = section.number("aim-ms", 500, 1, kMaxMs, true);
+        requestClass.latencyTargetMs = section.number("aim-ms", 500, 1, kMaxMs, true);
         requestClass.deadlineMs = section.number("deadline-ms", 2500, 1, kMaxMs, true);
-        if (requestClass.deadlineMs < requestClass.aimMs)
+        if (requestClass.deadlineMs < requestClass.latencyTargetMs)
             section.addError("deadline-ms", "must not be less than 'aim-ms'");
-        requestClass.memorySpanMs = section.number("memory-ms", 0, 0, kMaxMs);
-        if (requestClass.effect == Effect::ByKey && requestClass.memorySpanMs <= 0)
+        requestClass.keyRetentionMs = section.number("memory-ms", 0, 0, kMaxMs);
+        if (requestClass.effect == Effect::ByKey && requestClass.keyRetentionMs <= 0)
             section.addError("memory-ms",
                              "must be set for a keyed class: the time for which nodes remember keys");
         requestClass.points = section.number("points", 1, 0, 1e6);
@@ -149,10 +149,10 @@
     settings.digests = operations.boolean("digest", true);
     settings.pieceBytes = operations.bytes("piece", 512 * kKiB, 4 * kKiB, kGiB / 16);
     auto& scheduler = settings.module;
-    scheduler.topUnits = std::max(
+    scheduler.maxUnits = std::max(
         1.0, std::ceil(static_cast<double>(settings.pieceBytes) / static_cast<double>(settings.unitBytes)));
     scheduler.meanUnits =
-        operations.number("mean-units", std::max(1.0, scheduler.topUnits / 4), 0.001, kMaxRate);
+        operations.number("mean-units", std::max(1.0, scheduler.maxUnits / 4), 0.001, kMaxRate);
     operations.rejectUnknownKeys();
 }
 
@@ -180,7 +180,7 @@
         // The credits of a host are a part of the burst in whole units, and half of a host's equal part must
         // suffice for the largest request.
         const auto* plan = findByName(settings.module.plans, volume.plan);
-        const double minBurst = 2 * settings.module.topUnits * volume.hosts;
+        const double minBurst = 2 * settings.module.maxUnits * volume.hosts;
         if (plan && plan->limit > 0 && plan->limitBurst < minBurst)
             section.addError("plan", "limit-burst of plan '" + volume.plan + "' must be at least " +
                                          std::to_string(static_cast<long>(minBurst)) +
