--- a/src/registry/endpoint_watcher.cpp
+++ b/src/registry/endpoint_watcher.cpp
@@ -35,24 +35,22 @@
     open_.push_back(stream);
     if (!stream->connection->open()) return failed(stream, WatchFault::Unreachable, "cannot be reached");
     const std::weak_ptr<Stream> weak = stream;
-    stream->connection->handle({[this, weak] {
-                                    const auto locked = weak.lock();
-                                    if (!locked) return;
-                                    std::string target = "/v1/endpoints?stream=1";
-                                    if (watch_.resumeRevision() >= 0)
-                                        target += "&index=" + std::to_string(watch_.resumeRevision());
-                                    locked->connection->write(
-                                        wire::http::writeRequest("GET", target, locked->at.text(), {}, {}));
-                                    locked->connection->flush();
-                                },
-                                [this, weak](std::string_view bytes) {
-                                    if (const auto locked = weak.lock()) onData(locked, bytes);
-                                },
-                                {},
-                                [this, weak](io::Closed) {
-                                    if (const auto locked = weak.lock())
-                                        failed(locked, WatchFault::Closed, "closed the connection");
-                                }});
+    stream->connection->setHandler(
+        {[this, weak] {
+             const auto locked = weak.lock();
+             if (!locked) return;
+             std::string target = "/v1/endpoints?stream=1";
+             if (watch_.resumeRevision() >= 0) target += "&index=" + std::to_string(watch_.resumeRevision());
+             locked->connection->write(wire::http::writeRequest("GET", target, locked->at.text(), {}, {}));
+             locked->connection->flush();
+         },
+         [this, weak](std::string_view bytes) {
+             if (const auto locked = weak.lock()) onData(locked, bytes);
+         },
+         {},
+         [this, weak](io::DisconnectReason) {
+             if (const auto locked = weak.lock()) failed(locked, WatchFault::Closed, "closed the connection");
+         }});
     armNextAttempt();
 }
 
--- a/tests/gateway/platform_list_test.cpp
+++ b/tests/gateway/platform_list_test.cpp
@@ -39,7 +39,7 @@
 registry::Endpoints parsed(std::int64_t revision, bool complete, const std::string& members) {
     registry::Endpoints out;
     std::string error;
-    EXPECT_TRUE(registry::parseEndpoints(listText(static_cast<int>(revision), complete, members), out, error))
+    EXPECT_TRUE(registry::parseEndpoints(listJson(static_cast<int>(revision), complete, members), out, error))
         << error;
     return out;
 }
@@ -49,46 +49,49 @@
 // An agent that lags behind must not make a node usable again that is known to be draining or removed.
 TEST(NodeBook, AnOlderListUndoesNoDrain) {
     registry::NodeTable table;
-    table.apply(parsed(50, true,
-                       member("a", "127.0.0.1:1", 0) + "," + member("b", "127.0.0.1:2", 1, "draining") + "," +
-                           member("c", "127.0.0.1:3", 2)),
-                ListForm::Full, kClock);
-    table.apply(parsed(51, false, member("c", "127.0.0.1:3", 2, "removed")), ListForm::Delta, kClock);
+    table.apply(
+        parsed(50, true,
+               memberJson("a", "127.0.0.1:1", 0) + "," + memberJson("b", "127.0.0.1:2", 1, "draining") + "," +
+                   memberJson("c", "127.0.0.1:3", 2)),
+        ListForm::Full, kClock);
+    table.apply(parsed(51, false, memberJson("c", "127.0.0.1:3", 2, "removed")), ListForm::Delta, kClock);
     const auto phases = [](const registry::NodeTable::Change& change) {
         std::map<std::string, Lifecycle> out;
         for (const auto& e : change.update.entries) out[e.node] = e.lifecycle;
         return out;
     };
-    const auto all = member("a", "127.0.0.1:1", 0) + "," + member("b", "127.0.0.1:2", 1) + "," +
-                     member("c", "127.0.0.1:3", 2);
+    const auto all = memberJson("a", "127.0.0.1:1", 0) + "," + memberJson("b", "127.0.0.1:2", 1) + "," +
+                     memberJson("c", "127.0.0.1:3", 2);
     const auto lagging = phases(table.apply(parsed(45, true, all), ListForm::Full, kClock));
     EXPECT_EQ(lagging.at("a"), Lifecycle::Ready);
     EXPECT_EQ(lagging.at("b"), Lifecycle::Draining);
     EXPECT_EQ(lagging.at("c"), Lifecycle::Gone);
     // Neither do changes with a revision before the known one; a later change does.
-    EXPECT_EQ(phases(table.apply(parsed(46, false, member("b", "127.0.0.1:2", 1)), ListForm::Delta, kClock))
-                  .at("b"),
-              Lifecycle::Draining);
+    EXPECT_EQ(
+        phases(table.apply(parsed(46, false, memberJson("b", "127.0.0.1:2", 1)), ListForm::Delta, kClock))
+            .at("b"),
+        Lifecycle::Draining);
     EXPECT_FALSE(
-        table.apply(parsed(46, false, member("b", "127.0.0.1:2", 1)), ListForm::Delta, kClock).applied);
-    EXPECT_EQ(phases(table.apply(parsed(52, false, member("b", "127.0.0.1:2", 1)), ListForm::Delta, kClock))
-                  .at("b"),
-              Lifecycle::Ready);
+        table.apply(parsed(46, false, memberJson("b", "127.0.0.1:2", 1)), ListForm::Delta, kClock).applied);
+    EXPECT_EQ(
+        phases(table.apply(parsed(52, false, memberJson("b", "127.0.0.1:2", 1)), ListForm::Delta, kClock))
+            .at("b"),
+        Lifecycle::Ready);
 }
 
 TEST(NodeBook, WhatStartedAnewMovedDrainsOrGoesIsRetired) {
     const auto retired = [](const std::string& members, bool complete) {
         registry::NodeTable table;
-        table.apply(parsed(1, true, member("a", "127.0.0.1:1", 0)), ListForm::Full, kClock);
+        table.apply(parsed(1, true, memberJson("a", "127.0.0.1:1", 0)), ListForm::Full, kClock);
         return table.apply(parsed(2, complete, members), complete ? ListForm::Full : ListForm::Delta, kClock)
             .nodesToDisconnect.size();
     };
-    auto restarted = member("a", "127.0.0.1:1", 0);
+    auto restarted = memberJson("a", "127.0.0.1:1", 0);
     restarted.replace(restarted.find("up_since_ms\":0"), 14, "up_since_ms\":77");
-    EXPECT_EQ(retired(member("a", "127.0.0.1:1", 0), false), 0u);
+    EXPECT_EQ(retired(memberJson("a", "127.0.0.1:1", 0), false), 0u);
     EXPECT_EQ(retired(restarted, false), 1u);
-    EXPECT_EQ(retired(member("a", "127.0.0.1:2", 0), false), 1u);
-    EXPECT_EQ(retired(member("a", "127.0.0.1:1", 0, "draining"), false), 1u);
+    EXPECT_EQ(retired(memberJson("a", "127.0.0.1:2", 0), false), 1u);
+    EXPECT_EQ(retired(memberJson("a", "127.0.0.1:1", 0, "draining"), false), 1u);
     EXPECT_EQ(retired("", true), 1u);
 }
 
@@ -174,9 +177,9 @@
 
 // An invalid entry does not affect the valid ones; its node counts as draining.
 TEST(NodeBook, AnEntryThatCantBeReadIsNotSentTo) {
-    const auto list = parsed(
-        2, true,
-        member("a", "127.0.0.1:1", 0) + "," + member("b", "127.0.0.1:2", 1, "odd") + R"(,7,{"phase":"up"})");
+    const auto list = parsed(2, true,
+                             memberJson("a", "127.0.0.1:1", 0) + "," +
+                                 memberJson("b", "127.0.0.1:2", 1, "odd") + R"(,7,{"phase":"up"})");
     EXPECT_EQ(list.unreadable, 3u);
     ASSERT_EQ(list.entries.size(), 2u);
     EXPECT_EQ(list.entries[0].lifecycle, Lifecycle::Ready);
@@ -185,86 +188,86 @@
 
 class ListTest : public PlatformTest {
   protected:
-    std::string drained() { return listText(43, false, member("s-1", disk->address(), 0, "draining")); }
+    std::string drained() { return listJson(43, false, memberJson("s-1", disk->address(), 0, "draining")); }
     // Sends a request and returns whether it reaches the disk server.
     bool goesOut(const std::string& id) {
         auto c = client();
         const auto before = disk->requests();
-        c->say(requestText({.id = id, .timeout = "200"}));
-        EXPECT_TRUE(turn([&] { return disk->requests() > before || c->answered(); }));
+        c->send(requestText({.id = id, .timeout = "200"}));
+        EXPECT_TRUE(runLoopUntil([&] { return disk->requests() > before || c->answered(); }));
         return disk->requests() > before;
     }
     std::size_t watches() const { return discovery->requests(); }
 };
 
 TEST_F(ListTest, ListsMayComeIndentedAndInPieces) {
-    start();
+    startUntilReady();
     EXPECT_TRUE(goesOut("a"));
     std::string indented = drained();
     for (std::size_t at = 0; (at = indented.find_first_of(",{", at)) != indented.npos; at += 4)
         indented.insert(at + 1, "\n  ");
     for (std::size_t at = 0; at < indented.size(); at += 11)
-        discovery->last().say(piece(indented.substr(at, 11)));
-    ASSERT_TRUE(turn([&] { return !goesOut("b"); }));
-    pass(50);
+        discovery->last().send(httpChunk(indented.substr(at, 11)));
+    ASSERT_TRUE(runLoopUntil([&] { return !goesOut("b"); }));
+    runLoopFor(50);
     EXPECT_EQ(watches(), 1u);  // no reconnect was needed
 }
 
 // Guards against changes missed by a watch that fell silent: they must be known within 6 s even if two
 // attempts fail. Bytes of an incomplete line do not count as a sign of life.
 TEST_F(ListTest, ASilentWatchIsOpenedAnewInTimeThoughTwoTriesFail) {
-    start();
+    startUntilReady();
     auto& silent = discovery->last();
     const double from = io::nowMs();
     double lastByteAt = 0;
-    ASSERT_TRUE(turn(
+    ASSERT_TRUE(runLoopUntil(
         [&] {
-            if (io::nowMs() > lastByteAt + 100) silent.say(piece(" ")), lastByteAt = io::nowMs();
+            if (io::nowMs() > lastByteAt + 100) silent.send(httpChunk(" ")), lastByteAt = io::nowMs();
             return watches() == 4;
         },
         6000));
     EXPECT_LT(io::nowMs() - from, 5500);
-    EXPECT_FALSE(silent.closed && discovery->taken.size() < 4);
-    discovery->last().say(std::string(kWatchHead) + chunk(drained()));
-    ASSERT_TRUE(turn([&] { return !goesOut("a"); }));
+    EXPECT_FALSE(silent.closed && discovery->accepted.size() < 4);
+    discovery->last().send(std::string(kWatchResponseHead) + lineChunk(drained()));
+    ASSERT_TRUE(runLoopUntil([&] { return !goesOut("a"); }));
     EXPECT_LT(io::nowMs() - from, 6000);
     // The other connections are closed.
-    ASSERT_TRUE(turn([&] {
+    ASSERT_TRUE(runLoopUntil([&] {
         std::size_t open = 0;
-        for (const auto& t : discovery->taken) open += !t->closed;
+        for (const auto& t : discovery->accepted) open += !t->closed;
         return open <= 1 + 3;  // connections to /ready are the scheduler's own
     }));
 }
 
 // A list service that recovers may send on the old connection first; that data must be used at once.
 TEST_F(ListTest, AnOldConnectionThatSpeaksAgainCounts) {
-    start();
+    startUntilReady();
     auto& old = discovery->last();
-    ASSERT_TRUE(turn([&] { return watches() == 3; }, 5000));
+    ASSERT_TRUE(runLoopUntil([&] { return watches() == 3; }, 5000));
     EXPECT_FALSE(old.closed);
-    old.say(chunk(drained()));
-    ASSERT_TRUE(turn([&] { return !goesOut("a"); }, 500));
+    old.send(lineChunk(drained()));
+    ASSERT_TRUE(runLoopUntil([&] { return !goesOut("a"); }, 500));
     const auto* tried = &discovery->last();
-    EXPECT_TRUE(turn([&] { return tried->closed; }));
+    EXPECT_TRUE(runLoopUntil([&] { return tried->closed; }));
 }
 
 // A list at a new address must be known within 4 s of the new configuration, even if the first attempt there
 // gets no answer while the old connection still sends lines.
 TEST_F(ListTest, AMoveIsHeardInTimeThoughTheFirstTryFails) {
-    start();
+    startUntilReady();
     auto& old = discovery->last();
-    Server moved;
+    FakeServer moved;
     write(configuration(moved.address()));
     daemon->reload();
     const double from = io::nowMs();
-    ASSERT_TRUE(turn(
+    ASSERT_TRUE(runLoopUntil(
         [&] {
-            old.say(chunk(""));
+            old.send(lineChunk(""));
             return moved.requests() == 2;
         },
         4000));
-    moved.last().say(std::string(kWatchHead) + chunk(drained()));
-    ASSERT_TRUE(turn([&] { return !goesOut("a"); }));
+    moved.last().send(std::string(kWatchResponseHead) + lineChunk(drained()));
+    ASSERT_TRUE(runLoopUntil([&] { return !goesOut("a"); }));
     EXPECT_LT(io::nowMs() - from, 3500);
     EXPECT_TRUE(old.closed);
 }
@@ -272,16 +275,16 @@
 // The configured list of a starting process may be older than the agent's: the process must send nothing and
 // not report ready before the agent has answered.
 TEST_F(ListTest, AStartedSchedulerHearsTheListFirst) {
-    raise();
-    ASSERT_TRUE(turn([&] { return watches() == 1; }));
+    startDaemon();
+    ASSERT_TRUE(runLoopUntil([&] { return watches() == 1; }));
     EXPECT_EQ(readyStatus(), 503);
     auto early = client();
-    early->say(requestText({.id = "early", .timeout = "900"}));
-    pass(50);
+    early->send(requestText({.id = "early", .timeout = "900"}));
+    runLoopFor(50);
     EXPECT_EQ(disk->requests(), 0u);
-    discovery->last().say(std::string(kWatchHead) + chunk(drained()));
-    ASSERT_TRUE(turn([&] { return readyStatus() == 200; }));
-    ASSERT_TRUE(turn([&] { return early->answered(); }));
+    discovery->last().send(std::string(kWatchResponseHead) + lineChunk(drained()));
+    ASSERT_TRUE(runLoopUntil([&] { return readyStatus() == 200; }));
+    ASSERT_TRUE(runLoopUntil([&] { return early->answered(); }));
     EXPECT_EQ(disk->requests(), 0u);
 }
 
@@ -291,51 +294,54 @@
 // answer. (Using that list after 2.5 s broke the drain rule, see
 // docs/incidents/2026-12-03-start-in-an-outage.md.)
 TEST_F(ListTest, AStartDuringAnOutageIsReadyInTimeAndSendsNothingWithoutAWord) {
-    raise();
+    startDaemon();
     const double from = io::nowMs();
-    ASSERT_TRUE(turn([&] { return readyStatus() == 200; }, 6500));
+    ASSERT_TRUE(runLoopUntil([&] { return readyStatus() == 200; }, 6500));
     EXPECT_LT(io::nowMs() - from, 6000);
     auto refused = client();
-    refused->say(requestText({.id = "refused", .timeout = "600"}));
-    ASSERT_TRUE(turn([&] { return refused->answered(); }));
+    refused->send(requestText({.id = "refused", .timeout = "600"}));
+    ASSERT_TRUE(runLoopUntil([&] { return refused->answered(); }));
     EXPECT_EQ(refused->status(), 503);
     EXPECT_EQ(disk->requests(), 0u);
     auto waiting = client();
-    waiting->say(requestText({.id = "waiting", .timeout = "2500"}));
-    pass(200);
+    waiting->send(requestText({.id = "waiting", .timeout = "2500"}));
+    runLoopFor(200);
     EXPECT_EQ(disk->requests(), 0u);
-    discovery->onRequest = [](Taken& t) { t.say(std::string(kWatchHead) + chunk("")); };
-    discovery->last().say(std::string(kWatchHead) + chunk(""));
-    EXPECT_TRUE(turn([&] { return disk->requests() == 1; }));
+    discovery->onRequest = [](AcceptedConnection& t) {
+        t.send(std::string(kWatchResponseHead) + lineChunk(""));
+    };
+    discovery->last().send(std::string(kWatchResponseHead) + lineChunk(""));
+    EXPECT_TRUE(runLoopUntil([&] { return disk->requests() == 1; }));
 }
 
 // A slow list service: each connection receives a long list from its beginning over 9 s. The list must be
 // used.
 TEST_F(ListTest, ALongListThatArrivesSlowlyIsTaken) {
-    start();
-    disk->onRequest = [](Taken& t) { t.say(served("x")); };
+    startUntilReady();
+    disk->onRequest = [](AcceptedConnection& t) { t.send(okResponse("x")); };
     struct Transfer {
-        Taken* to;
+        AcceptedConnection* to;
         std::size_t next;
         double at;
     };
     std::vector<Transfer> transfers;
-    discovery->onRequest = [&](Taken& t) {
-        t.say(kWatchHead);
+    discovery->onRequest = [&](AcceptedConnection& t) {
+        t.send(kWatchResponseHead);
         transfers.push_back({&t, 0, io::nowMs()});
     };
-    std::string members = member("s-1", disk->address(), 0, "draining");
-    for (int i = 0; i < 4000; ++i) members += "," + member("x-" + std::to_string(i), disk->address(), 9 + i);
-    const auto list = listText(43, true, members) + "\n";
+    std::string members = memberJson("s-1", disk->address(), 0, "draining");
+    for (int i = 0; i < 4000; ++i)
+        members += "," + memberJson("x-" + std::to_string(i), disk->address(), 9 + i);
+    const auto list = listJson(43, true, members) + "\n";
     const std::size_t pieceSize = list.size() / 90 + 1;
     const double from = io::nowMs();
     bool drained = false;
     double checkedAt = from;
-    ASSERT_TRUE(turn(
+    ASSERT_TRUE(runLoopUntil(
         [&] {
             for (auto& f : transfers)
                 if (!f.to->closed && f.next < list.size() && io::nowMs() >= f.at) {
-                    f.to->say(piece(list.substr(f.next, pieceSize)));
+                    f.to->send(httpChunk(list.substr(f.next, pieceSize)));
                     f.next += pieceSize;
                     f.at += 100;
                 }
@@ -348,16 +354,16 @@
 
 // An overloaded list service: each connection gets its answer 5.6 s after the request.
 TEST_F(ListTest, AListServiceThatAnswersLateIsHeard) {
-    start();
-    disk->onRequest = [](Taken& t) { t.say(served("x")); };
-    std::vector<std::pair<Taken*, double>> late;
-    discovery->onRequest = [&](Taken& t) { late.emplace_back(&t, io::nowMs() + 5600); };
+    startUntilReady();
+    disk->onRequest = [](AcceptedConnection& t) { t.send(okResponse("x")); };
+    std::vector<std::pair<AcceptedConnection*, double>> late;
+    discovery->onRequest = [&](AcceptedConnection& t) { late.emplace_back(&t, io::nowMs() + 5600); };
     double checkedAt = io::nowMs();
-    ASSERT_TRUE(turn(
+    ASSERT_TRUE(runLoopUntil(
         [&] {
             for (auto& [t, at] : late)
                 if (at > 0 && io::nowMs() >= at && !t->closed) {
-                    t->say(std::string(kWatchHead) + chunk(drained()));
+                    t->send(std::string(kWatchResponseHead) + lineChunk(drained()));
                     at = 0;
                 }
             if (io::nowMs() < checkedAt + 500) return false;
