--- a/tests/gateway/platform_attempt_test.cpp
+++ b/tests/gateway/platform_attempt_test.cpp
@@ -1,6 +1,7 @@
 // What happens to an attempt between its decision and its first byte, and when its request or response is
 // cut. In the HeldDial tests the disk server does not accept the connection until the client has left, the
 // node drains, or the like.
+#include "platform/dialect.hpp"
 #include "platform_support.hpp"
 #include "stalled_listener.hpp"
 
