--- a/kit/bad_day.cpp
+++ b/kit/bad_day.cpp
@@ -142,14 +142,14 @@
                         "client" + std::to_string(r) + "-" + std::to_string(n) + "-" + std::to_string(i);
                     took.withinMs = kWaitMs + kViewMs;
                     const auto f = client.fetch(static_cast<std::int32_t>(i));
-                    took.us = f.askedUs;
+                    took.us = f.requestedUs;
                     note(took);
                     ++fetches_;
                     ++steps_;
                     if (f.outcome == RsyncClient::FetchResult::Outcome::ConnectionLost)
                         break;  // no end: judged with the host's death
                     took.kind = TraceRecord::Kind::Ended;
-                    took.us = f.endedUs;
+                    took.us = f.answeredUs;
                     note(took);
                     const bool fine = f.outcome == RsyncClient::FetchResult::Outcome::Content;
                     fetchesFine_ += fine;
--- a/kit/fleet.hpp
+++ b/kit/fleet.hpp
@@ -1,4 +1,5 @@
-// A fleet on loopback: hosts (spokewheeld), stand-in storage nodes and their list, with what can go wrong.
+// Starts and controls a fleet on loopback: hosts (spokewheeld), stand-in storage nodes, the registry with
+// their list, and the faults of each.
 #pragma once
 
 #include <map>
@@ -12,49 +13,58 @@
 
 struct NodeOptions {
     int shard = 0;
-    std::vector<std::string> arguments;  // for spokewheel-standin node
+    std::vector<std::string> arguments;  // of `spokewheel-standin node`
 };
 struct HostOptions {
-    std::string classes, plans, volumes, extra;  // YAML; empty: the fleet's own
+    std::string classes, plans, volumes, extra;  // YAML of the settings file; empty: the defaults of Fleet
     std::string logLevel = "debug";
 };
 
+// Nodes are identified by a number, hosts by their rank. Functions that start a process wait until it serves
+// and throw std::runtime_error if it does not. The destructor kills all processes and removes all files.
 class Fleet {
   public:
-    // `bin` holds the programs; all files go below `directory`, which must not exist yet.
+    // `bin`: folder of the programs. All files are created below `directory`, which must not exist yet.
     Fleet(std::string bin, std::string directory);
     ~Fleet();
 
-    void startNode(int n, const NodeOptions& options = {});
-    // In order: it ends its record first. Its work and connections are lost all the same.
-    void killNode(int n, bool inOrder = false);
-    int nodePort(int n) const { return nodes_.at(n).port; }
-    std::string nodeAddress(int n) const { return "127.0.0.1:" + std::to_string(nodePort(n)); }
-    bool controlNode(int n, const std::string& target);  // POST to the node's control port
-    long nodeCounter(int n, const std::string& what);    // of its counts
-    std::string tracePath(int n) const { return directory_ + "/node" + std::to_string(n) + ".trace"; }
-    // Lines of the node's trace that hold all of the words.
-    std::size_t countTraceLines(int n, const std::vector<std::string>& words) const;
-    std::size_t countTraceLinesOfAllNodes(const std::vector<std::string>& words) const;
-    // From then on hosts are started with the list over HTTP and a state directory of their own.
+    // Starts a node, or restarts it at its port: it then counts as started anew and is cold.
+    void startNode(int node, const NodeOptions& options = {});
+    // Graceful: by SIGTERM first, so that the node completes its trace. Its work and connections are lost
+    // either way.
+    void killNode(int node, bool graceful = false);
+    int nodePort(int node) const { return nodes_.at(node).port; }
+    std::string nodeAddress(int node) const { return "127.0.0.1:" + std::to_string(nodePort(node)); }
+    // POSTs to the node's control port; true if it answers 200.
+    bool controlNode(int node, const std::string& target);
+    // A counter from the node's control port; -1 if it has none of this name.
+    long nodeCounter(int node, const std::string& name);
+    std::string tracePath(int node) const { return directory_ + "/node" + std::to_string(node) + ".trace"; }
+    // Number of lines of the node's trace that contain all of the texts.
+    std::size_t countTraceLines(int node, const std::vector<std::string>& texts) const;
+    std::size_t countTraceLinesOfAllNodes(const std::vector<std::string>& texts) const;
+    // Hosts started after this call read the node list over HTTP and have a state directory each.
     void startRegistry();
     void killRegistry() { registry_.process.kill(); }
     bool controlRegistry(const std::string& target) {
-        return http(registry_.controlPort, "POST", target).first == 200;
+        return httpRequest(registry_.controlPort, "POST", target).first == 200;
     }
-    // Writes the list; states other than "ready" by node number. Nodes not started are left out.
+    // Writes the list of all nodes that were started. `states`: by node number, if not "ready"; "absent"
+    // leaves the node out.
     void writeNodeList(const std::map<int, std::string>& states = {});
 
-    // Puts a relay between the hosts that loses this share of their messages, by seed. Before the first host.
+    // Drops this share of the messages between hosts, drawn by the seed. The first call sets up the relay
+    // that does so and must precede startHost().
     void setPeerMessageLoss(int hosts, std::uint64_t seed, double share);
     void startHost(int rank, int hosts = 1, const HostOptions& options = {});
     void killHost(int rank) { hosts_.at(rank).process.kill(); }
-    int stopHost(int rank, double seconds = 15);
+    int stopHost(int rank, double seconds = 15);  // by SIGTERM; returns as Process::wait() does
     Process& host(int rank) { return hosts_.at(rank).process; }
     int rsyncPort(int rank) const { return hosts_.at(rank).port; }
     std::string logPath(int rank) const { return directory_ + "/host" + std::to_string(rank) + ".log"; }
     std::string url(int rank, const std::string& path) const;
-    long residentPeakKiB(int rank) const;
+    long residentPeakKiB(int rank) const;  // -1 if not known
+    // Runs the stock rsync client.
     CommandResult rsync(std::vector<std::string> arguments, double seconds = 30) const;
     const std::string& directory() const { return directory_; }
 
@@ -62,7 +72,7 @@
     struct Node {
         Process process;
         int port = 0, controlPort = 0, shard = 0;
-        long long startedMs = 0;
+        long long startedMs = 0;  // wall clock, of a restart; 0: never restarted
         NodeOptions options;
     };
     struct Host {
@@ -74,7 +84,7 @@
     std::map<int, Host> hosts_;
     Node registry_;
     struct Relay;
-    std::map<int, int> peerPorts_;
+    std::map<int, int> peerPorts_;  // by rank
     std::unique_ptr<Relay> relay_;
     int listVersion_ = 0;
 };
--- a/kit/process.hpp
+++ b/kit/process.hpp
@@ -1,4 +1,5 @@
-// Processes, waiting for conditions, and small blocking clients, for the rehearsal kit and the tests.
+// Child processes, files, bounded waiting and small blocking clients for the test kit, the tests and the
+// benchmarks.
 #pragma once
 
 #include <sys/types.h>
@@ -10,18 +11,20 @@
 
 namespace spokewheel::kit {
 
-// Ends with its owner: killed by the destructor, and by the kernel should the owner die.
+// A child process that does not outlive its owner: the destructor kills it, and the kernel does so if the
+// owning process dies.
 class Process {
   public:
     Process() = default;
-    // Throws std::runtime_error where it can't be started. Output goes to `output` (appended).
+    // Runs the command with standard output and error appended to the file `output`. Throws
+    // std::runtime_error if fork() fails; a command that can't be executed exits with status 127.
     Process(const std::vector<std::string>& command, const std::string& output);
     ~Process();
-    Process(Process&& o) noexcept;
-    Process& operator=(Process&& o) noexcept;
+    Process(Process&& other) noexcept;
+    Process& operator=(Process&& other) noexcept;
     void signal(int number) const;
-    void kill();  // SIGKILL, and waits
-    // Exit status (128 + signal where one ended it), or -1 where it still runs after the time.
+    void kill();  // sends SIGKILL and waits for the exit
+    // The exit status (128 + the signal's number if a signal ended it); -1 if it still runs after `seconds`.
     int wait(double seconds);
     bool running();
     pid_t pid() const { return pid_; }
@@ -31,19 +34,23 @@
     int status_ = -1;
 };
 
-// Tries until it is true; false after the time. The only way in which tests wait.
+// Polls the condition until it is true; returns false if it is not after `seconds`. Tests wait in no other
+// way.
 bool waitUntil(double seconds, const std::function<bool()>& condition);
 
 struct CommandResult {
-    int status = -1;
+    int status = -1;  // as Process::wait() returns it; -1: it was killed after the time-out
     std::string output;
 };
+// Runs a command to its end, at most for `seconds`.
 CommandResult runCommand(const std::vector<std::string>& command, double seconds);
 
 std::string readFile(const std::string& path);
-void writeFile(const std::string& path, const std::string& text, int mode = 0644);  // whole or not at all
+// Replaces the file atomically. Throws std::runtime_error if it can't be replaced.
+void writeFile(const std::string& path, const std::string& text, int mode = 0644);
 
-// A blocking connection to loopback with a time-out on each call.
+// A blocking TCP connection to a loopback port with a time-out on each call. The constructor throws
+// std::runtime_error if the connection is refused.
 class Socket {
   public:
     explicit Socket(int port, double seconds = 10);
@@ -51,18 +58,18 @@
     Socket(const Socket&) = delete;
     Socket& operator=(const Socket&) = delete;
     bool send(const std::string& bytes);
-    std::string read(std::size_t n);         // fewer where the other side ended
-    std::string readSome(std::size_t most);  // what is there; empty at the end
-    std::string readLine();                  // without its end
-    std::string readAll(std::size_t most = 1 << 20);
-    bool waitForClose();  // reads on until the other side ends; false where it does not in time
+    std::string read(std::size_t count);        // fewer bytes if the peer closes or the time runs out
+    std::string readSome(std::size_t maximum);  // what has arrived; empty once the peer has closed
+    std::string readLine();                     // without the newline
+    std::string readAll(std::size_t maximum = 1 << 20);
+    bool waitForClose();  // discards input until the peer closes; false if it does not in time
     void shutdownWrite();
 
   private:
     int fd_;
 };
-// One HTTP exchange: status and body.
-std::pair<int, std::string> http(int port, const std::string& method, const std::string& target,
-                                 const std::string& body = "");
+// One HTTP exchange on a connection of its own: status and body. The status is 0 without a valid response.
+std::pair<int, std::string> httpRequest(int port, const std::string& method, const std::string& target,
+                                        const std::string& body = "");
 
 }  // namespace spokewheel::kit
