--- a/apps/spokewheel.cpp
+++ b/apps/spokewheel.cpp
@@ -33,7 +33,7 @@
     spokewheel::config::ConfigErrors errors;
     spokewheel::kit::BadDaySettings s;
     s.bin = bin;
-    s.script = spokewheel::kit::readScript(script, errors);
+    s.script = spokewheel::kit::readFaultScript(script, errors);
     for (const auto& e : errors) std::fprintf(stderr, "%s\n", e.text().c_str());
     if (!errors.empty()) return 2;
     const auto name = "spokewheel-bad-day-" + std::to_string(getpid());
@@ -44,14 +44,15 @@
         std::printf("  %s\n", message.c_str());
         std::fflush(stdout);
     };
-    const auto r = spokewheel::kit::badDay(s);
-    std::printf("%s", spokewheel::kit::tell(r.verdicts, r.fromUs).c_str());
+    const auto r = spokewheel::kit::runBadDay(s);
+    std::printf("%s", spokewheel::kit::formatResults(r.rules, r.startUs).c_str());
     std::printf(
         "uploads: %zu of %zu ok, downloads: %zu of %zu, single reads: %zu of %zu; files with wrong content: "
         "%zu\n",
-        r.pushesFine, r.pushes, r.pullsFine, r.pulls, r.fetchesFine, r.fetches, r.halfFiles);
-    if (!r.fault.empty()) std::printf("not judged: %s\n", r.fault.c_str());
-    return r.fault.empty() && r.halfFiles == 0 && !spokewheel::kit::anyBroken(r.verdicts) ? 0 : 1;
+        r.uploadsOk, r.uploads, r.downloadsOk, r.downloads, r.singleReadsOk, r.singleReads,
+        r.filesWithWrongContent);
+    if (!r.error.empty()) std::printf("records incomplete: %s\n", r.error.c_str());
+    return r.error.empty() && r.filesWithWrongContent == 0 && !spokewheel::kit::anyViolated(r.rules) ? 0 : 1;
 }
 
 struct MatrixArguments {
--- a/kit/bad_day.cpp
+++ b/kit/bad_day.cpp
@@ -13,316 +13,332 @@
 namespace {
 
 namespace fs = std::filesystem;
-constexpr int kFiles = 60;
-// A file has its end within the time that its request may wait for the volume's turn and the class's
-// deadline.
-constexpr double kWaitMs = 2000, kViewMs = 2000, kNodeUnitsPerS = 250;
+constexpr int kInitialFiles = 60;
+// A client gets its answer within the time that the request may wait for the volume (`refused-wait-s`) plus
+// the deadline of its class.
+constexpr double kMaxWaitMs = 2000, kViewDeadlineMs = 2000;
+constexpr double kNodeUnitsPerS = 250;  // that a warm node completes
+constexpr int kFirstBurstClient = 100;
+constexpr int kRsyncSocketError = 10;  // exit status of the client
 
-// What a file holds is made from its name, so that any copy of it can be checked.
+// The content of a file is derived from its name, so that any copy of it can be checked.
 std::string contentOf(const std::string& name) {
     std::seed_seq seed(name.begin(), name.end());
     std::mt19937 random(seed);
-    std::string out(200 + random() % 60000, '\0');
-    for (auto& c : out) c = static_cast<char>(random());
-    return out;
+    std::string content(200 + random() % 60000, '\0');
+    for (auto& c : content) c = static_cast<char>(random());
+    return content;
 }
 
-class Day {
+class BadDayRun {
   public:
-    explicit Day(const BadDaySettings& s) : s_(s), random_(s.seed), fleet_(s.bin, s.directory + "/fleet") {
-        fs::create_directories(s.directory + "/up");
+    explicit BadDayRun(const BadDaySettings& settings)
+        : settings_(settings), random_(settings.seed), fleet_(settings.bin, settings.directory + "/fleet") {
+        fs::create_directories(settings.directory + "/up");
     }
-    BadDayResult play() {
-        raise();
+    BadDayResult run() {
+        startFleet();
         std::vector<std::thread> clients;
-        for (int r = 0; r < s_.script.hosts; ++r) {
-            clients.emplace_back([this, r] { pushes(r); });
-            clients.emplace_back([this, r] { pulls(r, r); });
-            clients.emplace_back([this, r] { fetches(r); });
+        for (int rank = 0; rank < settings_.script.hosts; ++rank) {
+            clients.emplace_back([this, rank] { uploadRepeatedly(rank); });
+            clients.emplace_back([this, rank] { downloadRepeatedly(rank, rank); });
+            clients.emplace_back([this, rank] { readRepeatedly(rank); });
         }
-        for (int i = 0; i < s_.rounds; ++i) script(i);
+        for (int round = 0; round < settings_.rounds; ++round) runScript(round);
         stopping_ = true;
-        for (auto& c : clients) c.join();
-        calm();
-        for (int r = 0; r < s_.script.hosts; ++r) fleet_.stopHost(r);
-        collect();
+        for (auto& client : clients) client.join();
+        endBurst();
+        for (int rank = 0; rank < settings_.script.hosts; ++rank) fleet_.stopHost(rank);
+        checkRecords();
         return std::move(result_);
     }
 
   private:
-    void say(const std::string& words) {
-        if (s_.progress) s_.progress(words);
+    void reportProgress(const std::string& message) {
+        if (settings_.progress) settings_.progress(message);
     }
-    void note(TraceRecord r) {
+    void addRecord(TraceRecord record) {
         const std::lock_guard lock(mutex_);
-        records_.push_back(std::move(r));
+        records_.push_back(std::move(record));
     }
-    void raise() {
-        for (int n = 0; n < s_.script.nodes; ++n)
-            fleet_.startNode(n, {n,
-                                 {"--base-ms", std::to_string(s_.script.workMs), "--cores", "2", "--queue",
-                                  "32", "--cold-ms", "2000"}});
-        if (s_.script.registry) fleet_.startRegistry();
+    void startFleet() {
+        for (int node = 0; node < settings_.script.nodes; ++node)
+            fleet_.startNode(node, {node,
+                                    {"--base-ms", std::to_string(settings_.script.workMs), "--cores", "2",
+                                     "--queue", "32", "--cold-ms", "2000"}});
+        if (settings_.script.registry) fleet_.startRegistry();
         fleet_.writeNodeList();
-        fleet_.setPeerMessageLoss(s_.script.hosts, s_.seed, 0);
-        HostOptions o;
-        o.classes =
+        fleet_.setPeerMessageLoss(settings_.script.hosts, settings_.seed, 0);
+        HostOptions options;
+        options.classes =
             "\n  - {name: view, effect: repeatable, aim-ms: 300, deadline-ms: 2000, points: 2}"
             "\n  - {name: upload, effect: once, writes: true, in-order: true, aim-ms: 500, deadline-ms: "
             "3000, points: 3}\n";
-        o.extra =
+        options.extra =
             "rules:\n  drain-grace-ms: 1000\n"
             "  cold: {units: 16, ms: 2000, share: 0.2, multiple: 2, fall-ms: 1000}\n"
             "  budget: {floor: 3, share: 0.1, span-ms: 5000}\n"
             "caps: {refused-wait-s: 2}\n";
-        options_ = o;
-        for (int r = 0; r < s_.script.hosts; ++r) fleet_.startHost(r, s_.script.hosts, o);
-        for (int i = 0; i < kFiles; ++i) {
+        options_ = options;
+        for (int rank = 0; rank < settings_.script.hosts; ++rank)
+            fleet_.startHost(rank, settings_.script.hosts, options);
+        for (int i = 0; i < kInitialFiles; ++i) {
             const auto name = "f" + std::to_string(i);
-            writeFile(s_.directory + "/up/" + name, contentOf(name));
+            writeFile(settings_.directory + "/up/" + name, contentOf(name));
         }
-        result_.fromUs = monotonicUs();
-        for (const auto* v : {"maps/", "narrow/"})
-            if (fleet_.rsync({"-rt", s_.directory + "/up/", fleet_.url(0, v)}).status != 0)
-                throw std::runtime_error("the first upload failed");
-        for (int r = 1; r < s_.script.hosts; ++r)
-            if (!waitUntil(10, [&] {
-                    return RsyncClient(fleet_.rsyncPort(r), "narrow/", 5).files().size() > kFiles;
+        result_.startUs = monotonicUs();
+        for (const auto* volume : {"maps/", "narrow/"})
+            if (fleet_.rsync({"-rt", settings_.directory + "/up/", fleet_.url(0, volume)}).status != 0)
+                throw std::runtime_error("the initial upload failed");
+        for (int rank = 1; rank < settings_.script.hosts; ++rank)
+            if (!waitUntil(10, [&] {  // the list also has an entry for the folder itself
+                    return RsyncClient(fleet_.rsyncPort(rank), "narrow/", 5).files().size() > kInitialFiles;
                 }))
-                throw std::runtime_error("a host does not see the first upload");
+                throw std::runtime_error("a host does not list all files of the initial upload");
     }
-    const char* volume(std::size_t n) const { return n % 3 ? "maps/" : "narrow/"; }
+    // Two operations out of three use the volume without a limit.
+    const char* volumeOf(std::size_t operation) const { return operation % 3 ? "maps/" : "narrow/"; }
 
-    void pushes(int r) {
+    void uploadRepeatedly(int rank) {
         for (std::size_t n = 0; !stopping_; ++n) {
-            const auto name = "h" + std::to_string(r) + "-" + std::to_string(n);
-            const auto file = s_.directory + "/" + name;
+            const auto name = "h" + std::to_string(rank) + "-" + std::to_string(n);
+            const auto file = settings_.directory + "/" + name;
             writeFile(file, contentOf(name));
-            // A client whose host is gone, or which was refused, comes again: here or at the next host.
-            bool fine = false;
-            for (int host = r, tries = 0; tries < 3 && !fine && !stopping_;
-                 ++tries, host = (host + 1) % s_.script.hosts) {
-                ++pushes_;
-                fine = fleet_.rsync({"-t", file, fleet_.url(host, volume(n))}, 20).status == 0;
-                pushesFine_ += fine;
+            // A client whose host is down or refused it retries at the next host.
+            bool ok = false;
+            for (int host = rank, tries = 0; tries < 3 && !ok && !stopping_;
+                 ++tries, host = (host + 1) % settings_.script.hosts) {
+                ++uploads_;
+                ok = fleet_.rsync({"-t", file, fleet_.url(host, volumeOf(n))}, 20).status == 0;
+                uploadsOk_ += ok;
             }
             fs::remove(file);
-            ++steps_;
+            ++operations_;
         }
     }
-    void pulls(int r, int name) {
-        const bool burst = name >= 100;
-        const auto to = s_.directory + "/down" + std::to_string(name);
-        for (std::size_t n = 0; !stopping_ && !(burst && calm_); ++n) {
-            ++pulls_;
-            const auto run =
-                fleet_.rsync({"-rt", "--timeout=20",
-                              fleet_.url(r, volume(n)) + "f" + std::to_string(n % 6) + "*", to + "/"},
-                             40);
-            pullsFine_ += run.status == 0;
-            // Its host is down: comes again a little later.
-            if (run.status == 10) waitUntil(0.1, [this] { return stopping_.load(); });
-            if (fs::exists(to))
-                for (const auto& f : fs::directory_iterator(to))
-                    if (readFile(f.path().string()) != contentOf(f.path().filename().string())) ++halfFiles_;
-            fs::remove_all(to);
-            ++steps_;
+    // Downloads into a folder of this number; numbers from kFirstBurstClient on are those of a burst.
+    void downloadRepeatedly(int rank, int folderNumber) {
+        const bool inBurst = folderNumber >= kFirstBurstClient;
+        const auto folder = settings_.directory + "/down" + std::to_string(folderNumber);
+        for (std::size_t n = 0; !stopping_ && !(inBurst && burstEnding_); ++n) {
+            ++downloads_;
+            const auto result = fleet_.rsync(
+                {"-rt", "--timeout=20", fleet_.url(rank, volumeOf(n)) + "f" + std::to_string(n % 6) + "*",
+                 folder + "/"},
+                40);
+            downloadsOk_ += result.status == 0;
+            // Socket error, the host is down: retries a little later.
+            if (result.status == kRsyncSocketError) waitUntil(0.1, [this] { return stopping_.load(); });
+            if (fs::exists(folder))
+                for (const auto& file : fs::directory_iterator(folder))
+                    if (readFile(file.path().string()) != contentOf(file.path().filename().string()))
+                        ++filesWithWrongContent_;
+            fs::remove_all(folder);
+            ++operations_;
         }
     }
-    void fetches(int r) {
+    void readRepeatedly(int rank) {
         for (std::size_t n = 0; !stopping_; ++n) try {
-                RsyncClient client(fleet_.rsyncPort(r), volume(n), 10);
-                if (!client.ready()) throw std::runtime_error("not served");
+                RsyncClient client(fleet_.rsyncPort(rank), volumeOf(n), 10);
+                if (!client.ready()) throw std::runtime_error("file list not received");
                 for (std::size_t i = 0; i < client.files().size() && i < 30 && !stopping_; ++i) {
                     if (!client.files()[i].isFile()) continue;
-                    TraceRecord took;
-                    took.kind = TraceRecord::Kind::Took;
-                    took.host = std::to_string(r);
-                    took.request =
-                        "client" + std::to_string(r) + "-" + std::to_string(n) + "-" + std::to_string(i);
-                    took.withinMs = kWaitMs + kViewMs;
-                    const auto f = client.fetch(static_cast<std::int32_t>(i));
-                    took.us = f.requestedUs;
-                    note(took);
-                    ++fetches_;
-                    ++steps_;
-                    if (f.outcome == RsyncClient::FetchResult::Outcome::ConnectionLost)
-                        break;  // no end: judged with the host's death
-                    took.kind = TraceRecord::Kind::Ended;
-                    took.us = f.answeredUs;
-                    note(took);
-                    const bool fine = f.outcome == RsyncClient::FetchResult::Outcome::Content;
-                    fetchesFine_ += fine;
-                    if (fine && f.content != contentOf(client.files()[i].name)) ++halfFiles_;
+                    TraceRecord record;
+                    record.kind = TraceRecord::Kind::ClientRequested;
+                    record.host = std::to_string(rank);
+                    record.request =
+                        "client" + std::to_string(rank) + "-" + std::to_string(n) + "-" + std::to_string(i);
+                    record.timeToAnswerMs = kMaxWaitMs + kViewDeadlineMs;
+                    const auto result = client.fetch(static_cast<std::int32_t>(i));
+                    record.timeUs = result.requestedUs;
+                    addRecord(record);
+                    ++singleReads_;
+                    ++operations_;
+                    if (result.outcome == RsyncClient::FetchResult::Outcome::ConnectionLost)
+                        break;  // no answer: a violation unless the host was killed
+                    record.kind = TraceRecord::Kind::ClientAnswered;
+                    record.timeUs = result.answeredUs;
+                    addRecord(record);
+                    const bool ok = result.outcome == RsyncClient::FetchResult::Outcome::Content;
+                    singleReadsOk_ += ok;
+                    if (ok && result.content != contentOf(client.files()[i].name)) ++filesWithWrongContent_;
                 }
-            } catch (const std::exception&) {  // its host is down: comes again
+            } catch (const std::exception&) {  // the host is down: retries
                 waitUntil(0.1, [this] { return stopping_.load(); });
             }
     }
 
-    // Each step follows once the clients got so much further, so that a slow machine plays the same day.
-    void after(std::size_t steps) {
-        const auto from = steps_.load();
-        const auto more = steps + random_() % (steps / 4 + 1);
-        waitUntil(15, [&] { return steps_ >= from + more; });
+    // Waits until the clients have completed this many more operations, and up to a quarter more by the seed;
+    // at most 15 s. Timing the steps by operations makes the run the same on a slow machine.
+    void waitForOperations(std::size_t count) {
+        const auto from = operations_.load();
+        const auto more = count + random_() % (count / 4 + 1);
+        waitUntil(15, [&] { return operations_ >= from + more; });
     }
-    // A host may act upon a list before this thread runs again. A node therefore counts as ready from before
-    // the list is written (`fromUs`, where something before that already lets it be seen), as leaving from
-    // after it: neither says that a host knew what it could not.
-    void relist(std::int64_t fromUs = monotonicUs()) {
-        fleet_.writeNodeList(states_);
+    // Writes the node list and records each node's state in it. A host may read the list before this thread
+    // runs again, so a node counts as ready from before the list is written (`fromUs`, or an earlier time if
+    // the caller has already made it visible) and as not ready from after it. No record then requires a host
+    // to know a state earlier than it could.
+    void publishNodeList(std::int64_t fromUs = monotonicUs()) {
+        fleet_.writeNodeList(nodeStates_);
         const auto writtenUs = monotonicUs();
-        for (int n = 0; n < s_.script.nodes; ++n) {
-            const auto s = states_.find(n);
-            const bool ready = s == states_.end();
-            TraceRecord r;
-            r.kind = TraceRecord::Kind::Listed;
-            // Told when it left the registry, which may be later than it was written there.
-            r.us = (ready ? fromUs : writtenUs) + static_cast<std::int64_t>(1000 * behindMs_);
-            r.node = fleet_.nodeAddress(n);
-            r.words = ready ? "ready" : s->second;
-            note(r);
+        for (int node = 0; node < settings_.script.nodes; ++node) {
+            const auto state = nodeStates_.find(node);
+            const bool ready = state == nodeStates_.end();
+            TraceRecord record;
+            record.kind = TraceRecord::Kind::NodeListed;
+            // The registry reports the change with its delay.
+            record.timeUs = (ready ? fromUs : writtenUs) + static_cast<std::int64_t>(1000 * listDelayMs_);
+            record.node = fleet_.nodeAddress(node);
+            record.detail = ready ? "ready" : state->second;
+            addRecord(record);
         }
     }
-    void script(int round) {
-        Casting casting(s_.script, s_.seed + static_cast<std::uint64_t>(round));
-        for (const auto& step : s_.script.steps) {
-            after(step.after);
-            const int whom = casting.cast(step);
-            const bool about = ofNode(step.deed) || ofHost(step.deed);
-            if (about && whom < 0) continue;
-            say("round " + std::to_string(round) + ": " + nameOf(step.deed) +
-                (about ? (ofNode(step.deed) ? " node " : " host ") + std::to_string(whom) : ""));
-            play(step, whom);
+    void runScript(int round) {
+        TargetSelector targets(settings_.script, settings_.seed + static_cast<std::uint64_t>(round));
+        for (const auto& step : settings_.script.steps) {
+            waitForOperations(step.after);
+            const int target = targets.select(step);
+            const bool hasTarget = targetsNode(step.action) || targetsHost(step.action);
+            if (hasTarget && target < 0) continue;
+            reportProgress(
+                "round " + std::to_string(round) + ": " + nameOf(step.action) +
+                (hasTarget ? (targetsNode(step.action) ? " node " : " host ") + std::to_string(target) : ""));
+            apply(step, target);
         }
-        after(s_.script.rest);
+        waitForOperations(settings_.script.finalOperations);
     }
-    void play(const Step& step, int whom) {
-        switch (step.deed) {
-            case Deed::Silence:
-                fleet_.controlNode(whom, "/faults?silent=1");
+    void apply(const Step& step, int target) {
+        switch (step.action) {
+            case Action::Silence:
+                fleet_.controlNode(target, "/faults?silent=1");
                 break;
-            case Deed::Deafen:
-                fleet_.controlNode(whom, "/faults?deaf=1");
+            case Action::Deafen:
+                fleet_.controlNode(target, "/faults?deaf=1");
                 break;
-            case Deed::HalfOpen:
-                fleet_.controlNode(whom, "/faults?half-open=1");
+            case Action::HalfOpen:
+                fleet_.controlNode(target, "/faults?half-open=1");
                 break;
-            case Deed::Refuse:
-                fleet_.controlNode(whom, "/faults?refuse=1");
+            case Action::Refuse:
+                fleet_.controlNode(target, "/faults?refuse=1");
                 break;
-            case Deed::Slow:
-                fleet_.controlNode(whom, "/faults?slow=" + std::to_string(step.by));
+            case Action::Slow:
+                fleet_.controlNode(target, "/faults?slow=" + std::to_string(step.amount));
                 break;
-            case Deed::Clear:
-                fleet_.controlNode(whom, "/clear");
+            case Action::Clear:
+                fleet_.controlNode(target, "/clear");
                 break;
-            case Deed::Drain:
-                states_[whom] = "draining";
-                relist();
+            case Action::Drain:
+                nodeStates_[target] = "draining";
+                publishNodeList();
                 break;
-            case Deed::Retire:
-                fleet_.killNode(whom, true);
-                states_[whom] = "absent";
-                relist();
+            case Action::Retire:
+                fleet_.killNode(target, true);
+                nodeStates_[target] = "absent";
+                publishNodeList();
                 break;
-            case Deed::Crash:
-                fleet_.killNode(whom, true);
+            case Action::Crash:
+                fleet_.killNode(target, true);
                 break;
-            case Deed::Return:
-                fleet_.startNode(whom);
-                states_.erase(whom);
-                relist();
+            case Action::Return:
+                fleet_.startNode(target);
+                nodeStates_.erase(target);
+                publishNodeList();
                 break;
-            case Deed::KillHost: {
-                TraceRecord killed;
-                killed.kind = TraceRecord::Kind::Killed;
-                killed.host = std::to_string(whom);
-                fleet_.killHost(whom);
-                killed.us = monotonicUs();
-                note(killed);
+            case Action::KillHost: {
+                TraceRecord record;
+                record.kind = TraceRecord::Kind::HostKilled;
+                record.host = std::to_string(target);
+                fleet_.killHost(target);
+                record.timeUs = monotonicUs();
+                addRecord(record);
                 break;
             }
-            case Deed::StartHost:
-                fleet_.startHost(whom, s_.script.hosts, options_);
+            case Action::StartHost:
+                fleet_.startHost(target, settings_.script.hosts, options_);
                 break;
-            case Deed::LoseMessages:
-                fleet_.setPeerMessageLoss(s_.script.hosts, s_.seed, step.by);
+            case Action::LoseMessages:
+                fleet_.setPeerMessageLoss(settings_.script.hosts, settings_.seed, step.amount);
                 break;
-            case Deed::Burst:
-                for (int i = 0; i < static_cast<int>(step.by); ++i)
-                    burst_.emplace_back([this, i] { pulls(i % s_.script.hosts, 100 + i); });
+            case Action::Burst:
+                for (int i = 0; i < static_cast<int>(step.amount); ++i)
+                    burstClients_.emplace_back(
+                        [this, i] { downloadRepeatedly(i % settings_.script.hosts, kFirstBurstClient + i); });
                 break;
-            case Deed::Calm:
-                calm();
+            case Action::Calm:
+                endBurst();
                 break;
-            case Deed::ListDown:
+            case Action::ListDown:
                 fleet_.controlRegistry("/faults?down=1");
                 break;
-            case Deed::ListBehind:
-                behindMs_ = step.by;
-                fleet_.controlRegistry("/faults?behind-ms=" + std::to_string(step.by));
+            case Action::ListBehind:
+                listDelayMs_ = step.amount;
+                fleet_.controlRegistry("/faults?behind-ms=" + std::to_string(step.amount));
                 break;
-            case Deed::ListUp: {
+            case Action::ListUp: {
                 const auto fromUs = monotonicUs();
-                behindMs_ = 0;
+                listDelayMs_ = 0;
                 fleet_.controlRegistry("/clear");
-                relist(fromUs);
+                publishNodeList(fromUs);
                 break;
             }
         }
     }
-    void calm() {
-        calm_ = true;
-        for (auto& t : burst_) t.join();
-        burst_.clear();
-        calm_ = false;
+    void endBurst() {
+        burstEnding_ = true;
+        for (auto& client : burstClients_) client.join();
+        burstClients_.clear();
+        burstEnding_ = false;
     }
 
-    void collect() {
-        for (int n = 0; n < s_.script.nodes; ++n) {
-            fleet_.killNode(n, true);
-            auto trace = parseTrace(readFile(fleet_.tracePath(n)));
-            if (!trace.fault.empty() && result_.fault.empty())
-                result_.fault = "record of node " + std::to_string(n) + ": " + trace.fault;
+    void checkRecords() {
+        for (int node = 0; node < settings_.script.nodes; ++node) {
+            fleet_.killNode(node, true);
+            auto trace = parseTrace(readFile(fleet_.tracePath(node)));
+            if (!trace.error.empty() && result_.error.empty())
+                result_.error = "trace of node " + std::to_string(node) + ": " + trace.error;
             records_.insert(records_.end(), trace.records.begin(), trace.records.end());
         }
-        result_.pushes = pushes_, result_.pushesFine = pushesFine_, result_.pulls = pulls_;
-        result_.pullsFine = pullsFine_, result_.fetches = fetches_, result_.fetchesFine = fetchesFine_;
-        result_.halfFiles = halfFiles_;
-        RuleParameters f;
-        f.classes = {{"view", {false, false}}, {"upload", {true, true}}};
-        f.volumes = {{1, {}}, {2, {100, 400, 8}}};
-        f.coldMs = 2000, f.coldUnits = 16, f.nodeUnitsPerS = kNodeUnitsPerS;
-        f.extraFloor = 3, f.extraShare = 0.1, f.extraSpanMs = 5000;
-        result_.verdicts = checkRules(std::move(records_), f);
+        result_.uploads = uploads_, result_.uploadsOk = uploadsOk_, result_.downloads = downloads_;
+        result_.downloadsOk = downloadsOk_, result_.singleReads = singleReads_,
+        result_.singleReadsOk = singleReadsOk_;
+        result_.filesWithWrongContent = filesWithWrongContent_;
+        // As set in startFleet().
+        RuleParameters parameters;
+        parameters.classes = {{"view", {false, false}}, {"upload", {true, true}}};
+        parameters.volumes = {{1, {}}, {2, {100, 400, 8}}};
+        parameters.coldMs = 2000, parameters.coldUnits = 16, parameters.nodeUnitsPerS = kNodeUnitsPerS;
+        parameters.retryBudgetFloor = 3, parameters.retryBudgetShare = 0.1,
+        parameters.retryBudgetSpanMs = 5000;
+        result_.rules = checkRules(std::move(records_), parameters);
     }
 
-    BadDaySettings s_;
+    BadDaySettings settings_;
     std::mt19937_64 random_;
     Fleet fleet_;
     HostOptions options_;
-    std::map<int, std::string> states_;  // of nodes that are not ready
-    std::vector<std::thread> burst_;
-    double behindMs_ = 0;
+    std::map<int, std::string> nodeStates_;  // of the nodes that are not ready
+    std::vector<std::thread> burstClients_;
+    double listDelayMs_ = 0;  // of the registry
     std::mutex mutex_;
     std::vector<TraceRecord> records_;
-    std::atomic<bool> stopping_{false}, calm_{false};
-    std::atomic<std::size_t> steps_{0}, pushes_{0}, pushesFine_{0}, pulls_{0}, pullsFine_{0}, fetches_{0},
-        fetchesFine_{0}, halfFiles_{0};
+    std::atomic<bool> stopping_{false}, burstEnding_{false};
+    // `operations_`: of all clients; the others as in BadDayResult.
+    std::atomic<std::size_t> operations_{0}, uploads_{0}, uploadsOk_{0}, downloads_{0}, downloadsOk_{0},
+        singleReads_{0}, singleReadsOk_{0}, filesWithWrongContent_{0};
     BadDayResult result_;
 };
 
 }  // namespace
 
-BadDayResult badDay(const BadDaySettings& settings) {
-    BadDayResult out;
+BadDayResult runBadDay(const BadDaySettings& settings) {
+    BadDayResult result;
     {
-        Day day(settings);
-        out = day.play();
+        BadDayRun run(settings);
+        result = run.run();
     }
     fs::remove_all(settings.directory);
-    return out;
+    return result;
 }
 
 }  // namespace spokewheel::kit
--- a/kit/bad_day.hpp
+++ b/kit/bad_day.hpp
@@ -1,6 +1,6 @@
-// The scripted bad day: three hosts, six nodes, stock rsync clients and a scripted one; a node falls silent,
-// one drains and comes back cold, one dies while the list is behind, a host is killed and started again, peer
-// messages are lost. Judged by the traffic.
+// Runs a fault script against a fleet on loopback while stock rsync clients upload and download and a
+// scripted client requests single files. Afterwards the records of nodes, node list and clients are checked
+// against the rules of the gateway.
 #pragma once
 
 #include <cstdint>
@@ -14,19 +14,22 @@
 namespace spokewheel::kit {
 
 struct BadDaySettings {
-    std::string bin, directory;  // the directory must not exist; it is removed afterwards
-    Script script;
+    std::string bin;        // folder of the programs
+    std::string directory;  // must not exist; it is removed afterwards
+    FaultScript script;
     std::uint64_t seed = 1;
-    int rounds = 1;  // of the whole script
+    int rounds = 1;  // how often the script is run
     std::function<void(const std::string&)> progress;
 };
 struct BadDayResult {
-    std::vector<RuleResult> verdicts;
-    std::string fault;  // why it could not be judged; empty where it was
-    std::int64_t fromUs = 0;
-    std::size_t pushes = 0, pushesFine = 0, pulls = 0, pullsFine = 0, fetches = 0, fetchesFine = 0;
-    std::size_t halfFiles = 0;  // files a client got that are not what was stored
+    std::vector<RuleResult> rules;
+    std::string error;  // why the records are not conclusive; empty if they are
+    std::int64_t startUs = 0;
+    std::size_t uploads = 0, uploadsOk = 0, downloads = 0, downloadsOk = 0, singleReads = 0,
+                singleReadsOk = 0;
+    std::size_t filesWithWrongContent = 0;  // received by a client, but not what was stored
 };
-BadDayResult badDay(const BadDaySettings& settings);
+// Throws std::runtime_error if the fleet does not start or the initial upload fails.
+BadDayResult runBadDay(const BadDaySettings& settings);
 
 }  // namespace spokewheel::kit
--- a/kit/script.hpp
+++ b/kit/script.hpp
@@ -1,5 +1,5 @@
-// A bad day as data: what happens after how many steps of the clients, and to whom. Read from YAML and
-// checked whole: nothing is raised for a script with a mistake.
+// A fault script: which fault or recovery is applied to which node or host, after how many operations of the
+// clients. Read from YAML and validated as a whole before anything is started.
 #pragma once
 
 #include <cstddef>
@@ -12,59 +12,60 @@
 
 namespace spokewheel::kit {
 
-enum class Deed {
-    Silence,       // node: takes and executes, answers nothing
-    Deafen,        // node: takes, executes nothing, answers nothing
-    HalfOpen,      // node: accepts, never reads
-    Refuse,        // node: answers "not executed" to all
-    Slow,          // node: work takes `by` times as long
-    Clear,         // node: as before any of these
+enum class Action {
+    Silence,       // node: accepts and executes, never answers
+    Deafen,        // node: accepts, neither executes nor answers
+    HalfOpen,      // node: accepts connections, never reads
+    Refuse,        // node: answers "not executed" to everything
+    Slow,          // node: work takes `amount` times as long
+    Clear,         // node: ends all of the above
     Drain,         // node: listed as draining
-    Retire,        // node: dies and leaves the list
-    Crash,         // node: dies, the list still shows it
-    Return,        // node: starts anew, cold, and is listed
+    Retire,        // node: stops and is removed from the list
+    Crash,         // node: stops but is still listed
+    Return,        // node: restarts, cold, and is listed
     KillHost,      // host: SIGKILL
-    StartHost,     // host: started again
-    LoseMessages,  // `by` of the messages between hosts is lost
-    Burst,         // `by` more clients ask for the limited volume
-    Calm,          // the burst ends
-    ListDown,      // the registry is out of reach
-    ListBehind,    // the registry tells changes `by` ms late
-    ListUp         // the registry as before
+    StartHost,     // host: restarts
+    LoseMessages,  // a share of `amount` of the messages between hosts is lost
+    Burst,         // `amount` more clients download from both volumes
+    Calm,          // ends the burst
+    ListDown,      // the registry is unreachable
+    ListBehind,    // the registry reports changes `amount` ms late
+    ListUp         // ends both faults of the registry
 };
 
 struct Step {
-    std::size_t after = 0;  // steps of the clients since the last deed
-    Deed deed = Deed::Clear;
+    std::size_t after = 0;  // operations of the clients since the previous step
+    Action action = Action::Clear;
     static constexpr int kAny = -1, kLast = -2;  // drawn by the seed; the one that was drawn last
-    int whom = kLast;
-    double by = 0;
+    int target = kLast;                          // number of the node or rank of the host, or one of these
+    double amount = 0;
 };
 
-struct Script {
+struct FaultScript {
     std::string name;
     int hosts = 3, nodes = 6;
-    bool registry = false;  // the list over HTTP
-    double workMs = 4;      // of a node for a request
-    std::size_t rest = 60;  // steps after the last deed
+    bool registry = false;             // hosts read the node list over HTTP
+    double workMs = 4;                 // time that a node takes for a request
+    std::size_t finalOperations = 60;  // operations of the clients after the last step
     std::vector<Step> steps;
 };
 
-Script readScript(const std::string& file, config::ConfigErrors& mistakes);
-const char* nameOf(Deed deed);
-bool ofNode(Deed deed);
-bool ofHost(Deed deed);
+// Every error is added to `errors`; the script is usable only if there is none.
+FaultScript readFaultScript(const std::string& file, config::ConfigErrors& errors);
+const char* nameOf(Action action);  // as in the script
+bool targetsNode(Action action);
+bool targetsHost(Action action);
 
-// Draws whom a step is about, so that the same seed gives the same day. A node that is gone can't be made
-// silent, one that is up can't return: `any` draws among those that the deed can happen to, and a number that
-// it can't happen to is left out (-1).
-class Casting {
+// Selects the target of each step; the same seed gives the same sequence. `any` is drawn from the targets
+// that the action applies to: a stopped node can't become silent, and only a stopped one can return.
+class TargetSelector {
   public:
-    Casting(const Script& script, std::uint64_t seed);
-    int cast(const Step& step);
+    TargetSelector(const FaultScript& script, std::uint64_t seed);
+    // The node or host; -1 if the action has no target or can't be applied to the given one.
+    int select(const Step& step);
 
   private:
-    bool can(Deed deed, int whom) const;
+    bool appliesTo(Action action, int target) const;
     std::mt19937_64 random_;
     std::vector<bool> nodeUp_, hostUp_;
     int lastNode_ = 0, lastHost_ = 0;
--- a/kit/trace_checker.cpp
+++ b/kit/trace_checker.cpp
@@ -12,240 +12,266 @@
 
 using Kind = TraceRecord::Kind;
 
-const char* kNames[] = {"one final answer", "no double effect", "drains",           "cold nodes",
-                        "order per key",    "attempt budget",   "limits per volume"};
+const char* kRuleNames[] = {"one final answer", "no double effect", "drains",           "cold nodes",
+                            "order per key",    "attempt budget",   "limits per volume"};
 
-class Bench {
+class RuleChecker {
   public:
-    Bench(std::vector<TraceRecord> records, const RuleParameters& figures)
-        : records_(std::move(records)), f_(figures) {
+    RuleChecker(std::vector<TraceRecord> records, const RuleParameters& parameters)
+        : records_(std::move(records)), parameters_(parameters) {
         std::stable_sort(records_.begin(), records_.end(),
-                         [](const TraceRecord& a, const TraceRecord& b) { return a.us < b.us; });
+                         [](const TraceRecord& a, const TraceRecord& b) { return a.timeUs < b.timeUs; });
         for (int i = 0; i < 7; ++i)
-            verdicts_.push_back({i + 1, kNames[i], RuleStatus::Kept, 0, "", "", "", 0});
+            results_.push_back({i + 1, kRuleNames[i], RuleStatus::Kept, 0, "", "", "", 0});
     }
     std::vector<RuleResult> run() {
-        answers();
-        effects();
-        drains();
-        cold();
-        order();
-        budget();
-        limits();
-        for (auto& v : verdicts_)
-            if (v.status == RuleStatus::Kept && v.looked == 0) {
-                v.status = RuleStatus::NotChecked;
-                v.words = "no record is about it";
+        checkAnswers();
+        checkEffects();
+        checkDrains();
+        checkColdNodes();
+        checkOrder();
+        checkRetryBudget();
+        checkLimits();
+        for (auto& result : results_)
+            if (result.status == RuleStatus::Kept && result.recordsChecked == 0) {
+                result.status = RuleStatus::NotChecked;
+                result.detail = "no record of the run concerns it";
             }
-        return verdicts_;
+        return results_;
     }
 
   private:
-    void breach(int rule, const TraceRecord& r, std::string words) {
-        auto& v = verdicts_[static_cast<std::size_t>(rule - 1)];
-        if (v.status == RuleStatus::Violated && v.us <= r.us) return;
-        v.status = RuleStatus::Violated;
-        v.request = r.request;
-        v.host = r.host;
-        v.us = r.us;
-        v.words = std::move(words);
+    // Keeps only the first violation of each rule.
+    void addViolation(int rule, const TraceRecord& record, std::string detail) {
+        auto& result = results_[static_cast<std::size_t>(rule - 1)];
+        if (result.status == RuleStatus::Violated && result.timeUs <= record.timeUs) return;
+        result.status = RuleStatus::Violated;
+        result.request = record.request;
+        result.host = record.host;
+        result.timeUs = record.timeUs;
+        result.detail = std::move(detail);
     }
-    void looked(int rule) { ++verdicts_[static_cast<std::size_t>(rule - 1)].looked; }
-    const JudgedClass* classOf(const TraceRecord& r) const {
-        const auto c = f_.classes.find(r.requestClass);
-        return c == f_.classes.end() ? nullptr : &c->second;
+    void countRecord(int rule) { ++results_[static_cast<std::size_t>(rule - 1)].recordsChecked; }
+    const ClassRules* classOf(const TraceRecord& record) const {
+        const auto found = parameters_.classes.find(record.requestClass);
+        return found == parameters_.classes.end() ? nullptr : &found->second;
     }
-    bool killedBetween(const std::string& host, std::int64_t from, std::int64_t to) const {
+    bool hostKilledBetween(const std::string& host, std::int64_t from, std::int64_t to) const {
         return std::any_of(records_.begin(), records_.end(), [&](const TraceRecord& r) {
-            return r.kind == Kind::Killed && r.host == host && r.us >= from && r.us <= to;
+            return r.kind == Kind::HostKilled && r.host == host && r.timeUs >= from && r.timeUs <= to;
         });
     }
 
-    // At its client: one end, in time. At the nodes: nothing more for it once a node has served it, for its
-    // end follows that answer.
-    void answers() {
-        std::map<std::string, const TraceRecord*> took;
-        std::set<std::string> ended, served;
+    // A client gets exactly one answer, in time, unless its host is killed. Once a node has served a request,
+    // no further attempt of it reaches a node: that answer is final.
+    void checkAnswers() {
+        std::map<std::string, const TraceRecord*> requested;
+        std::set<std::string> answered, served;
         for (const auto& r : records_) {
-            if (r.kind == Kind::Took) took[r.request] = &r;
-            if (r.kind == Kind::Ended) {
-                looked(1);
-                const auto t = took.find(r.request);
-                if (t == took.end()) breach(1, r, "an end without a request");
-                else if (!ended.insert(r.request).second) breach(1, r, "a second end");
-                else if (r.us - t->second->us > 1000 * (t->second->withinMs + f_.answerGraceMs))
-                    breach(
-                        1, r,
-                        "an end " + std::to_string((r.us - t->second->us) / 1000) + " ms after the request");
+            if (r.kind == Kind::ClientRequested) requested[r.request] = &r;
+            if (r.kind == Kind::ClientAnswered) {
+                countRecord(1);
+                const auto found = requested.find(r.request);
+                if (found == requested.end()) addViolation(1, r, "answered without a request");
+                else if (!answered.insert(r.request).second) addViolation(1, r, "answered a second time");
+                else if (r.timeUs - found->second->timeUs >
+                         1000 * (found->second->timeToAnswerMs + parameters_.answerGraceMs))
+                    addViolation(1, r,
+                                 "answered " + std::to_string((r.timeUs - found->second->timeUs) / 1000) +
+                                     " ms after the request");
             }
-            if (r.kind == Kind::Arrive && served.count(r.request))
-                breach(1, r, "sent to a node after it was served");
-            if (r.kind == Kind::Answer && !r.words.empty()) served.insert(r.request);
+            if (r.kind == Kind::Arrived && served.count(r.request))
+                addViolation(1, r, "sent to a node after it was served");
+            if (r.kind == Kind::Answered && !r.detail.empty()) served.insert(r.request);
         }
-        const auto last = records_.empty() ? 0 : records_.back().us;
-        for (const auto& [request, t] : took)
-            if (!ended.count(request) && !killedBetween(t->host, t->us, last)) breach(1, *t, "no end");
+        const auto lastUs = records_.empty() ? 0 : records_.back().timeUs;
+        for (const auto& [request, record] : requested)
+            if (!answered.count(request) && !hostKilledBetween(record->host, record->timeUs, lastUs))
+                addViolation(1, *record, "not answered");
     }
 
-    // A once request that may have run is not sent again, and is executed once; what was stored under one
-    // name once is not stored again, whoever asks.
-    void effects() {
-        std::map<std::string, int> executed;
-        std::map<std::string, std::set<int>> mayHaveRun;
-        std::map<std::string, std::string> stored;
+    // A once request that may have run is not sent again, and it is executed once. An object that one request
+    // has stored is not stored again by another.
+    void checkEffects() {
+        std::map<std::string, int> executions;
+        std::map<std::string, std::set<int>> mayHaveRun;  // attempts by request
+        std::map<std::string, std::string> storedBy;      // request by target
         for (const auto& r : records_) {
-            const auto* c = classOf(r);
-            if (!c || !c->once) continue;
-            if (r.kind == Kind::Arrive) {
-                looked(2);
+            const auto* requestClass = classOf(r);
+            if (!requestClass || !requestClass->once) continue;
+            if (r.kind == Kind::Arrived) {
+                countRecord(2);
                 if (!mayHaveRun[r.request].empty())
-                    breach(2, r, "sent again though an earlier attempt may have run");
+                    addViolation(2, r, "sent again although an earlier attempt may have run");
                 mayHaveRun[r.request].insert(r.attempt);
             }
-            if (r.kind == Kind::Refuse) mayHaveRun[r.request].erase(r.attempt);
-            if (r.kind == Kind::Execute && r.write) {
-                if (++executed[r.request] > 1) breach(2, r, "executed twice");
-                const auto before = stored.emplace(r.target, r.request);
-                if (!before.second && before.first->second != r.request)
-                    breach(2, r, "stored under a name that " + before.first->second + " had stored");
+            if (r.kind == Kind::Refused) mayHaveRun[r.request].erase(r.attempt);
+            if (r.kind == Kind::Executed && r.write) {
+                if (++executions[r.request] > 1) addViolation(2, r, "executed twice");
+                const auto stored = storedBy.emplace(r.target, r.request);
+                if (!stored.second && stored.first->second != r.request)
+                    addViolation(2, r, "stored an object that " + stored.first->second + " had stored");
             }
         }
     }
 
-    void drains() {
-        std::map<std::string, std::pair<std::int64_t, std::string>> told;
+    // Nothing is sent to a node later than the drain grace after it was listed as not ready.
+    void checkDrains() {
+        std::map<std::string, std::pair<std::int64_t, std::string>> notReady;  // since, state
         for (const auto& r : records_) {
-            if (r.kind == Kind::Listed) {
-                if (r.words == "ready") told.erase(r.node);
-                else told.emplace(r.node, std::make_pair(r.us, r.words));
+            if (r.kind == Kind::NodeListed) {
+                if (r.detail == "ready") notReady.erase(r.node);
+                else notReady.emplace(r.node, std::make_pair(r.timeUs, r.detail));
             }
-            if (r.kind != Kind::Arrive) continue;
-            looked(3);
-            const auto t = told.find(r.node);
-            if (t != told.end() && r.us > t->second.first + 1000 * f_.drainGraceMs)
-                breach(3, r,
-                       "at " + r.node + " " + std::to_string((r.us - t->second.first) / 1000) +
-                           " ms after it was told to be " + t->second.second);
+            if (r.kind != Kind::Arrived) continue;
+            countRecord(3);
+            const auto found = notReady.find(r.node);
+            if (found != notReady.end() && r.timeUs > found->second.first + 1000 * parameters_.drainGraceMs)
+                addViolation(3, r,
+                             "sent to " + r.node + " " +
+                                 std::to_string((r.timeUs - found->second.first) / 1000) +
+                                 " ms after it was listed as " + found->second.second);
         }
     }
 
-    // Units that reach a node within the fall time, against what it can do at its age.
-    void cold() {
-        if (f_.coldMs <= 0) return;
-        std::map<std::string, std::int64_t> up;
-        std::map<std::string, std::deque<std::pair<std::int64_t, double>>> window;
+    // The units that reach a cold node within the overload span stay below the overload factor times what it
+    // can complete at its age, or below the fixed allowance if that is larger.
+    void checkColdNodes() {
+        if (parameters_.coldMs <= 0) return;
+        std::map<std::string, std::int64_t> restartedUs;
+        std::map<std::string, std::deque<std::pair<std::int64_t, double>>> arrivals;  // time, units
         for (const auto& r : records_) {
-            if (r.kind == Kind::Start && r.words == "again") up[r.node] = r.us, window[r.node].clear();
-            const auto u = up.find(r.node);
-            if (r.kind != Kind::Arrive || u == up.end()) continue;
-            const double age = static_cast<double>(r.us - u->second) / 1000;
-            if (age > f_.coldMs) continue;
-            looked(4);
-            auto& w = window[r.node];
-            w.emplace_back(r.us, r.units);
-            while (w.front().first < r.us - static_cast<std::int64_t>(1000 * f_.fallMs)) w.pop_front();
-            double sum = 0;
-            for (const auto& [at, units] : w) sum += units;
-            const double share = f_.coldShare + (1 - f_.coldShare) * age / f_.coldMs;
-            const double can = f_.tipMultiple * share * f_.nodeUnitsPerS * f_.fallMs / 1000;
-            if (sum > std::max(f_.coldUnits, can))
-                breach(4, r,
-                       std::to_string(static_cast<long>(sum)) + " units within the fall time at " + r.node +
-                           ", " + std::to_string(static_cast<long>(age)) + " ms old");
+            if (r.kind == Kind::TraceStart && r.detail == "again")
+                restartedUs[r.node] = r.timeUs, arrivals[r.node].clear();
+            const auto restarted = restartedUs.find(r.node);
+            if (r.kind != Kind::Arrived || restarted == restartedUs.end()) continue;
+            const double ageMs = static_cast<double>(r.timeUs - restarted->second) / 1000;
+            if (ageMs > parameters_.coldMs) continue;
+            countRecord(4);
+            auto& window = arrivals[r.node];
+            window.emplace_back(r.timeUs, r.units);
+            while (window.front().first <
+                   r.timeUs - static_cast<std::int64_t>(1000 * parameters_.overloadSpanMs))
+                window.pop_front();
+            double units = 0;
+            for (const auto& [atUs, arrivedUnits] : window) units += arrivedUnits;
+            const double share =
+                parameters_.coldShare + (1 - parameters_.coldShare) * ageMs / parameters_.coldMs;
+            const double overload = parameters_.overloadFactor * share * parameters_.nodeUnitsPerS *
+                                    parameters_.overloadSpanMs / 1000;
+            if (units > std::max(parameters_.coldUnits, overload))
+                addViolation(4, r,
+                             std::to_string(static_cast<long>(units)) +
+                                 " units within the overload span at " + r.node + ", " +
+                                 std::to_string(static_cast<long>(ageMs)) + " ms after its start");
         }
     }
 
-    void order() {
-        struct Turn {
-            std::map<std::string, int> open;  // request to attempts without an end
-            std::int64_t restUntil = 0;
+    // Of the requests of one key in an in-order class, a host sends one at a time. After an attempt without
+    // an answer, which may still run, it waits for the settle time before it sends another request of the
+    // key.
+    void checkOrder() {
+        struct KeyState {
+            std::map<std::string, int> open;  // attempts in flight by request
+            std::int64_t settledUs = 0;
         };
-        std::map<std::pair<std::string, std::int64_t>, Turn> turns;
+        std::map<std::pair<std::string, std::int64_t>, KeyState> keys;  // by host and key
         for (const auto& r : records_) {
-            if (r.kind == Kind::Killed)
-                for (auto& [k, t] : turns)
-                    if (k.first == r.host) t = {};
-            const auto* c = classOf(r);
-            if (!c || !c->inOrder || r.key < 0) continue;
-            auto& t = turns[{r.host, r.key}];
-            if (r.kind == Kind::Arrive) {
-                looked(5);
-                for (const auto& [request, n] : t.open)
-                    if (request != r.request && n > 0)
-                        breach(5, r, "while " + request + " of its key is open");
-                if (r.us < t.restUntil && !t.open.count(r.request)) breach(5, r, "while its key rests");
-                ++t.open[r.request];
+            if (r.kind == Kind::HostKilled)
+                for (auto& [hostAndKey, state] : keys)
+                    if (hostAndKey.first == r.host) state = {};
+            const auto* requestClass = classOf(r);
+            if (!requestClass || !requestClass->inOrder || r.key < 0) continue;
+            auto& state = keys[{r.host, r.key}];
+            if (r.kind == Kind::Arrived) {
+                countRecord(5);
+                for (const auto& [request, attempts] : state.open)
+                    if (request != r.request && attempts > 0)
+                        addViolation(5, r, "sent while " + request + " of its key is open");
+                if (r.timeUs < state.settledUs && !state.open.count(r.request))
+                    addViolation(5, r, "sent within the settle time of its key");
+                ++state.open[r.request];
             }
-            if (r.kind == Kind::Answer || r.kind == Kind::Refuse || r.kind == Kind::Quiet) {
-                const auto o = t.open.find(r.request);
-                if (o != t.open.end() && --o->second <= 0) t.open.erase(o);
-                if (r.kind == Kind::Quiet) t.restUntil = r.us + static_cast<std::int64_t>(1000 * f_.settleMs);
+            if (r.kind == Kind::Answered || r.kind == Kind::Refused || r.kind == Kind::EndedUnanswered) {
+                const auto found = state.open.find(r.request);
+                if (found != state.open.end() && --found->second <= 0) state.open.erase(found);
+                if (r.kind == Kind::EndedUnanswered)
+                    state.settledUs = r.timeUs + static_cast<std::int64_t>(1000 * parameters_.settleMs);
             }
         }
     }
 
-    void budget() {
-        if (f_.extraSpanMs <= 0) return;
-        std::map<std::string, std::deque<std::int64_t>> taken, extra;
+    // Per host, the attempts beyond the first of their request within the span stay below the floor plus the
+    // share of the requests in the span.
+    void checkRetryBudget() {
+        if (parameters_.retryBudgetSpanMs <= 0) return;
+        std::map<std::string, std::deque<std::int64_t>> requestTimes, retryTimes;  // by host
         std::set<std::string> known;
-        const auto span = static_cast<std::int64_t>(1000 * f_.extraSpanMs);
+        const auto spanUs = static_cast<std::int64_t>(1000 * parameters_.retryBudgetSpanMs);
         for (const auto& r : records_) {
-            if (r.kind != Kind::Arrive) continue;
-            looked(6);
-            auto &t = taken[r.host], &e = extra[r.host];
-            if (known.insert(r.request).second) t.push_back(r.us);
-            if (r.attempt > 0) e.push_back(r.us);
-            while (!t.empty() && t.front() < r.us - span) t.pop_front();
-            while (!e.empty() && e.front() < r.us - span) e.pop_front();
-            if (static_cast<double>(e.size()) > f_.extraFloor + f_.extraShare * static_cast<double>(t.size()))
-                breach(6, r,
-                       std::to_string(e.size()) + " further attempts within the span, " +
-                           std::to_string(t.size()) + " requests");
+            if (r.kind != Kind::Arrived) continue;
+            countRecord(6);
+            auto &requests = requestTimes[r.host], &retries = retryTimes[r.host];
+            if (known.insert(r.request).second) requests.push_back(r.timeUs);
+            if (r.attempt > 0) retries.push_back(r.timeUs);
+            while (!requests.empty() && requests.front() < r.timeUs - spanUs) requests.pop_front();
+            while (!retries.empty() && retries.front() < r.timeUs - spanUs) retries.pop_front();
+            if (static_cast<double>(retries.size()) >
+                parameters_.retryBudgetFloor +
+                    parameters_.retryBudgetShare * static_cast<double>(requests.size()))
+                addViolation(6, r,
+                             std::to_string(retries.size()) + " retries within the span for " +
+                                 std::to_string(requests.size()) + " requests");
         }
     }
 
-    // The store of each volume, less the first sends of all hosts.
-    void limits() {
-        std::map<std::int64_t, std::pair<double, std::int64_t>> level;
-        std::set<std::string> drawn;
+    // The first attempts of all hosts stay within each volume's token bucket. Retries are not charged again.
+    void checkLimits() {
+        std::map<std::int64_t, std::pair<double, std::int64_t>> buckets;  // by volume: level, refilled at
+        std::set<std::string> charged;
         for (const auto& r : records_) {
-            const auto v = f_.volumes.find(r.volume);
-            if (r.kind != Kind::Arrive || v == f_.volumes.end() || v->second.limit <= 0) continue;
-            if (!drawn.insert(r.request).second) continue;
-            looked(7);
-            auto& l = level.emplace(r.volume, std::make_pair(v->second.burst, r.us)).first->second;
-            l.first = std::min(v->second.burst,
-                               l.first + v->second.limit * static_cast<double>(r.us - l.second) / 1e6);
-            l.second = r.us;
-            l.first -= r.units;
-            if (l.first < -v->second.slack - 1e-9)
-                breach(7, r,
-                       "volume " + std::to_string(r.volume) + " at " + std::to_string(l.first) + " units");
+            const auto volume = parameters_.volumes.find(r.volume);
+            if (r.kind != Kind::Arrived || volume == parameters_.volumes.end() || volume->second.limit <= 0)
+                continue;
+            if (!charged.insert(r.request).second) continue;
+            countRecord(7);
+            auto& bucket =
+                buckets.emplace(r.volume, std::make_pair(volume->second.burst, r.timeUs)).first->second;
+            bucket.first = std::min(
+                volume->second.burst,
+                bucket.first + volume->second.limit * static_cast<double>(r.timeUs - bucket.second) / 1e6);
+            bucket.second = r.timeUs;
+            bucket.first -= r.units;
+            if (bucket.first < -volume->second.slack - 1e-9)
+                addViolation(7, r,
+                             "volume " + std::to_string(r.volume) + " at a level of " +
+                                 std::to_string(bucket.first) + " units");
         }
     }
 
     std::vector<TraceRecord> records_;
-    const RuleParameters& f_;
-    std::vector<RuleResult> verdicts_;
+    const RuleParameters& parameters_;
+    std::vector<RuleResult> results_;
 };
 
-// The value of a member in a flat JSON object of the stand-in's own writing.
-std::string member(const std::string& line, const std::string& name) {
-    const auto at = line.find("\"" + name + "\":");
-    if (at == line.npos) return "";
-    std::size_t i = at + name.size() + 3;
-    std::string out;
+// The value of a member of a flat JSON object as the stand-in writes it; empty if there is none.
+std::string memberOf(const std::string& line, const std::string& name) {
+    const auto found = line.find("\"" + name + "\":");
+    if (found == line.npos) return "";
+    std::size_t i = found + name.size() + 3;
+    std::string value;
     if (line[i] != '"') {
-        while (i < line.size() && line[i] != ',' && line[i] != '}') out += line[i++];
-        return out;
+        while (i < line.size() && line[i] != ',' && line[i] != '}') value += line[i++];
+        return value;
     }
     for (++i; i < line.size() && line[i] != '"'; ++i) {
         if (line[i] == '\\') ++i;
-        if (i < line.size()) out += line[i];
+        if (i < line.size()) value += line[i];
     }
-    return out;
+    return value;
 }
-std::string labelled(const std::string& label, const std::string& name) {
+// The value of a field of an attempt label ("name=value;name=value"); empty if there is none.
+std::string labelValue(const std::string& label, const std::string& name) {
     std::istringstream in(label);
     for (std::string part; std::getline(in, part, ';');)
         if (part.rfind(name + "=", 0) == 0) return part.substr(name.size() + 1);
@@ -254,80 +280,82 @@
 
 }  // namespace
 
-std::vector<RuleResult> checkRules(std::vector<TraceRecord> records, const RuleParameters& figures) {
-    return Bench(std::move(records), figures).run();
+std::vector<RuleResult> checkRules(std::vector<TraceRecord> records, const RuleParameters& parameters) {
+    return RuleChecker(std::move(records), parameters).run();
 }
 
 Trace parseTrace(const std::string& text) {
-    static const std::map<std::string, Kind> kKinds = {{"arrive", Kind::Arrive}, {"execute", Kind::Execute},
-                                                       {"kept", Kind::Execute},  {"refuse", Kind::Refuse},
-                                                       {"answer", Kind::Answer}, {"silent", Kind::Quiet},
-                                                       {"cut", Kind::Quiet},     {"dropped", Kind::Quiet},
-                                                       {"start", Kind::Start},   {"end", Kind::End}};
-    Trace out;
+    static const std::map<std::string, Kind> kKinds = {
+        {"arrive", Kind::Arrived},      {"execute", Kind::Executed},        {"kept", Kind::Executed},
+        {"refuse", Kind::Refused},      {"answer", Kind::Answered},         {"silent", Kind::EndedUnanswered},
+        {"cut", Kind::EndedUnanswered}, {"dropped", Kind::EndedUnanswered}, {"start", Kind::TraceStart},
+        {"end", Kind::TraceEnd}};
+    Trace trace;
     std::istringstream in(text);
-    std::int64_t expected = 0;
+    std::int64_t lastLine = 0;
     bool first = true;
     for (std::string line; std::getline(in, line);) {
-        const auto event = member(line, "event");
+        const auto event = memberOf(line, "event");
         const auto kind = kKinds.find(event);
         if (line.empty() || line.back() != '}' || kind == kKinds.end()) {
-            if (out.fault.empty()) out.fault = "a line that can't be read: " + line.substr(0, 80);
+            if (trace.error.empty()) trace.error = "unreadable line: " + line.substr(0, 80);
             continue;
         }
-        TraceRecord r;
-        r.kind = kind->second;
-        r.line = std::atoll(member(line, "line").c_str());
-        if (r.kind == Kind::Start) {
-            expected = 0;
-            if (!first) r.words = "again";
+        TraceRecord record;
+        record.kind = kind->second;
+        record.line = std::atoll(memberOf(line, "line").c_str());
+        if (record.kind == Kind::TraceStart) {
+            lastLine = 0;
+            if (!first) record.detail = "again";
         }
         first = false;
-        if (r.line != ++expected && out.fault.empty())
-            out.fault = "a gap before line " + std::to_string(r.line);
-        expected = r.line;
-        r.us = std::atoll(member(line, "us").c_str());
-        r.node = member(line, "node");
-        r.host = member(line, "host");
-        r.target = member(line, "target");
-        const auto label = member(line, "attempt");
-        r.request = labelled(label, "id");
-        r.attempt = std::atoi(labelled(label, "n").c_str());
-        r.requestClass = labelled(label, "class");
-        if (const auto v = labelled(label, "volume"); !v.empty()) r.volume = std::atoll(v.c_str());
-        if (const auto k = labelled(label, "key"); !k.empty()) r.key = std::atoll(k.c_str());
-        r.units = std::atof(labelled(label, "units").c_str());
-        // Found there already: the node did not do it again.
-        r.write = member(line, "method") == "PUT" && event == "execute";
-        const int status = std::atoi(member(line, "status").c_str());
-        if (r.kind == Kind::Answer && status > 0 && status < 500) r.words = "served";
-        out.records.push_back(std::move(r));
+        if (record.line != ++lastLine && trace.error.empty())
+            trace.error = "lines missing before line " + std::to_string(record.line);
+        lastLine = record.line;
+        record.timeUs = std::atoll(memberOf(line, "us").c_str());
+        record.node = memberOf(line, "node");
+        record.host = memberOf(line, "host");
+        record.target = memberOf(line, "target");
+        const auto label = memberOf(line, "attempt");
+        record.request = labelValue(label, "id");
+        record.attempt = std::atoi(labelValue(label, "n").c_str());
+        record.requestClass = labelValue(label, "class");
+        if (const auto volume = labelValue(label, "volume"); !volume.empty())
+            record.volume = std::atoll(volume.c_str());
+        if (const auto key = labelValue(label, "key"); !key.empty()) record.key = std::atoll(key.c_str());
+        record.units = std::atof(labelValue(label, "units").c_str());
+        // Of a "kept" event the object was there already: the node stored nothing.
+        record.write = memberOf(line, "method") == "PUT" && event == "execute";
+        const int status = std::atoi(memberOf(line, "status").c_str());
+        if (record.kind == Kind::Answered && status > 0 && status < 500) record.detail = "served";
+        trace.records.push_back(std::move(record));
     }
-    if (out.fault.empty() && (out.records.empty() || out.records.back().kind != Kind::End))
-        out.fault = "it was cut off";
-    return out;
+    if (trace.error.empty() && (trace.records.empty() || trace.records.back().kind != Kind::TraceEnd))
+        trace.error = "no end record: the trace is incomplete";
+    return trace;
 }
 
-std::string tell(const std::vector<RuleResult>& verdicts, std::int64_t fromUs) {
+std::string formatResults(const std::vector<RuleResult>& results, std::int64_t startUs) {
     std::ostringstream out;
-    for (const auto& v : verdicts) {
-        out << "rule " << v.rule << " " << v.name << ": ";
-        if (v.status == RuleStatus::Kept) out << "kept (" << v.looked << " looked at)";
-        else if (v.status == RuleStatus::NotChecked) out << "not judged: " << v.words;
+    for (const auto& result : results) {
+        out << "rule " << result.rule << " " << result.name << ": ";
+        if (result.status == RuleStatus::Kept)
+            out << "kept (" << result.recordsChecked << " records checked)";
+        else if (result.status == RuleStatus::NotChecked) out << "not checked: " << result.detail;
         else
-            out << "BROKEN at " << (v.us - fromUs) / 1000 << " ms by " << v.request << " of host " << v.host
-                << ": " << v.words;
+            out << "VIOLATED at " << (result.timeUs - startUs) / 1000 << " ms by request " << result.request
+                << " of host " << result.host << ": " << result.detail;
         out << "\n";
     }
     return out.str();
 }
-bool anyBroken(const std::vector<RuleResult>& verdicts) {
-    return std::any_of(verdicts.begin(), verdicts.end(),
-                       [](const RuleResult& v) { return v.status == RuleStatus::Violated; });
+bool anyViolated(const std::vector<RuleResult>& results) {
+    return std::any_of(results.begin(), results.end(),
+                       [](const RuleResult& result) { return result.status == RuleStatus::Violated; });
 }
-bool allKept(const std::vector<RuleResult>& verdicts) {
-    return std::all_of(verdicts.begin(), verdicts.end(),
-                       [](const RuleResult& v) { return v.status == RuleStatus::Kept; });
+bool allKept(const std::vector<RuleResult>& results) {
+    return std::all_of(results.begin(), results.end(),
+                       [](const RuleResult& result) { return result.status == RuleStatus::Kept; });
 }
 
 }  // namespace spokewheel::kit
