--- a/kit/soak/cluster.cpp
+++ b/kit/soak/cluster.cpp
@@ -11,12 +11,13 @@
 namespace spokewheel::soak {
 namespace {
 
-constexpr double kReadyWaitMs = 15000, kAfterKillMs = 1500;
-constexpr double kSampleMs = 20, kHeardAfterOutageMs = 1500;
+constexpr double kReadyTimeoutMs = 15000, kRecordAfterKillMs = 1500;
+constexpr double kStateSampleMs = 20, kRecoveryAfterOutageMs = 1500;
 
 }  // namespace
 
-Cluster::Cluster(const Options& of) : options(of), random(of.seed), portSource(of.seed) {
+Cluster::Cluster(const Options& runOptions)
+    : options(runOptions), random(runOptions.seed), portSource(runOptions.seed) {
     mkdir(options.folder.c_str(), 0700);
     record_ = [this](Event event) {
         if (event.process == 0 && event.scheduler >= 0)
@@ -38,12 +39,12 @@
 
 void Cluster::start() {
     for (std::size_t i = 0; i < processes.size(); ++i) startProcess(i);
-    const double latest = reactor.now() + kReadyWaitMs;
-    while (reactor.now() < latest && !allReady()) reactor.runUntil(reactor.now() + 20);
+    const double timeoutAt = reactor.now() + kReadyTimeoutMs;
+    while (reactor.now() < timeoutAt && !allReady()) reactor.runUntil(reactor.now() + 20);
     startedAt = reactor.now();
     sampleState();
     if (options.requestsPerSecond > 0)
-        for (const auto& one : clients) one->start();
+        for (const auto& group : clients) group->start();
     const auto& volumes = options.settings.busyVolumes;
     for (std::size_t i = 0; i < volumes.size(); ++i) moveVolume(i, volumes[i].schedulers, volumes[i].hosts);
     if (options.churnPerSecond > 0 && options.extraMembers > 0) churn();
@@ -52,57 +53,57 @@
 void Cluster::stop() {
     for (const auto& process : processes) process->stop();
     reactor.runUntil(reactor.now() + options.settings.killAfterMs());
-    for (const auto& one : clients) one->stop();
-    for (const auto& [at, one] : steadyClients_) one->stop();
-    reactor.runUntil(reactor.now() + options.settings.longestDeadlineMs() + kAfterKillMs);
+    for (const auto& group : clients) group->stop();
+    for (const auto& [key, steady] : steadyClients_) steady->stop();
+    reactor.runUntil(reactor.now() + options.settings.longestDeadlineMs() + kRecordAfterKillMs);
 }
 
 void Cluster::sampleState() {
-    std::set<int> well;
-    for (const auto& slot : servers)
-        if (!slot.removed && slot.server->well()) well.insert(slot.server->place().cell);
+    std::set<int> healthy;
+    for (const auto& entry : servers)
+        if (!entry.removed && entry.server->well()) healthy.insert(entry.server->place().cell);
     for (int cell = 0; cell < options.servers; ++cell)
-        recordStateChange(EventKind::CellState, cell, well.count(cell) > 0, healthyCells_);
+        recordStateChange(EventKind::CellState, cell, healthy.count(cell) > 0, healthyCells_);
     for (std::size_t i = 0; i < processes.size(); ++i) {
-        // One that was started in an outage may have to wait for its end.
+        // A process that was started during a discovery outage may have to wait until it is over.
         const bool outage = agents[i]->down() && processes[i]->startedAt() > agents[i]->downSince();
-        if (outage) markImpaired(i, kHeardAfterOutageMs);
+        if (outage) markImpaired(i, kRecoveryAfterOutageMs);
         recordStateChange(EventKind::SchedulerState, static_cast<int>(i), reactor.now() >= impairedUntil_[i],
                           healthySchedulers_);
     }
-    reactor.after(kSampleMs, [this] { sampleState(); });
+    reactor.after(kStateSampleMs, [this] { sampleState(); });
 }
 
-void Cluster::recordStateChange(EventKind kind, int who, bool well, std::map<int, bool>& last) {
-    const auto [known, first] = last.emplace(who, true);
-    if (known->second == well) return;
-    known->second = well;
+void Cluster::recordStateChange(EventKind kind, int index, bool healthy, std::map<int, bool>& states) {
+    const auto [state, inserted] = states.emplace(index, true);
+    if (state->second == healthy) return;
+    state->second = healthy;
     Event event;
     event.kind = kind;
     event.at = reactor.now();
-    event.status = well;
-    if (kind == EventKind::CellState) event.server = std::to_string(who);
-    else event.scheduler = who;
+    event.status = healthy;
+    if (kind == EventKind::CellState) event.server = std::to_string(index);
+    else event.scheduler = index;
     record_(event);
 }
 
-void Cluster::markImpaired(std::size_t scheduler, double lastsMs) {
+void Cluster::markImpaired(std::size_t scheduler, double durationMs) {
     auto& until = impairedUntil_[scheduler];
-    until = std::max(until, reactor.now() + lastsMs);
+    until = std::max(until, reactor.now() + durationMs);
 }
 
 void Cluster::moveVolume(std::size_t volume, const std::vector<int>& to, int hosts) {
-    const auto& plan = options.settings.busyVolumes[volume];
-    for (const auto& [at, one] : steadyClients_)
-        if (at.first == volume && std::find(to.begin(), to.end(), at.second) == to.end()) one->stop();
+    const auto& busyVolume = options.settings.busyVolumes[volume];
+    for (const auto& [key, steady] : steadyClients_)
+        if (key.first == volume && std::find(to.begin(), to.end(), key.second) == to.end()) steady->stop();
     for (const int scheduler : to) {
-        auto& one = steadyClients_[{volume, scheduler}];
-        if (!one)
-            one = std::make_unique<SteadyClients>(reactor, random, record_,
-                                                  *processes[static_cast<std::size_t>(scheduler)], scheduler,
-                                                  options, plan);
-        one->setHosts(hosts);
-        one->start();
+        auto& steady = steadyClients_[{volume, scheduler}];
+        if (!steady)
+            steady = std::make_unique<SteadyClients>(reactor, random, record_,
+                                                     *processes[static_cast<std::size_t>(scheduler)],
+                                                     scheduler, options, busyVolume);
+        steady->setHosts(hosts);
+        steady->start();
     }
 }
 
@@ -111,41 +112,42 @@
 }
 
 double Cluster::wallClockMs() const {
-    timespec at{};
-    clock_gettime(CLOCK_REALTIME, &at);
-    return static_cast<double>(at.tv_sec) * 1e3 + static_cast<double>(at.tv_nsec) / 1e6 + wallOffsetMs;
+    timespec wallClock{};
+    clock_gettime(CLOCK_REALTIME, &wallClock);
+    return static_cast<double>(wallClock.tv_sec) * 1e3 + static_cast<double>(wallClock.tv_nsec) / 1e6 +
+           wallOffsetMs;
 }
 
-void Cluster::logAction(const std::string& words) {
-    char at[24];
-    std::snprintf(at, sizeof at, "%.0f ms: ", reactor.now() - startedAt);
-    actionLog.push_back(at + words);
+void Cluster::logAction(const std::string& text) {
+    char timestamp[24];
+    std::snprintf(timestamp, sizeof timestamp, "%.0f ms: ", reactor.now() - startedAt);
+    actionLog.push_back(timestamp + text);
 }
 
 DiskServer& Cluster::addServer(int cell, bool cold) {
     std::vector<int> ports;
     for (int i = 0; i < options.schedulers; ++i) ports.push_back(portSource.take());
-    ServerEntry slot;
+    ServerEntry entry;
     DiskServer::Place place{"s-" + std::to_string(servers.size()), cell % 2 ? "b" : "a", cell};
-    slot.server =
+    entry.server =
         std::make_unique<DiskServer>(reactor, random, record_, place, std::move(ports), options.settings);
     if (cold) {
-        slot.server->startCold();
-        slot.upSinceMs = wallClockMs();
+        entry.server->startCold();
+        entry.upSinceMs = wallClockMs();
     }
-    servers.push_back(std::move(slot));
+    servers.push_back(std::move(entry));
     announce(servers.back(), "up");
     return *servers.back().server;
 }
 
-void Cluster::announce(const ServerEntry& slot, const std::string& phase) {
-    const auto& place = slot.server->place();
+void Cluster::announce(const ServerEntry& entry, const std::string& phase) {
+    const auto& place = entry.server->place();
     for (std::size_t i = 0; i < agents.size(); ++i)
-        agents[i]->change({place.id, place.zone, phase, place.cell, slot.server->portFor(static_cast<int>(i)),
-                           slot.upSinceMs, 0});
+        agents[i]->change({place.id, place.zone, phase, place.cell,
+                           entry.server->portFor(static_cast<int>(i)), entry.upSinceMs, 0});
 }
 
-// Members that are listed and never asked for, for the cost of a long list.
+// Entries that make the node list long; no request uses their cells.
 void Cluster::announceExtraMember(int number, const std::string& phase) {
     for (std::size_t i = 0; i < agents.size(); ++i)
         agents[i]->change({"extra-" + std::to_string(number), number % 2 ? "b" : "a", phase, 1000 + number,
@@ -160,19 +162,19 @@
 
 void Cluster::recordUsage() {
     for (const auto& process : processes) {
-        const auto own = process->usage();
-        const double part = 1.0 / static_cast<double>(processes.size());
-        usage.cpuSeconds += part * own.cpuSeconds;
-        usage.peakMb += part * own.peakMb;
-        usage.descriptors = std::max(usage.descriptors, own.descriptors);
+        const auto used = process->usage();
+        const double weight = 1.0 / static_cast<double>(processes.size());
+        usage.cpuSeconds += weight * used.cpuSeconds;
+        usage.peakMb += weight * used.peakMb;
+        usage.descriptors = std::max(usage.descriptors, used.descriptors);
     }
 }
 
-// A watch carried the server's present start to a scheduler.
+// A watch told the scheduler of this start of the server.
 void Cluster::onMemberDelivered(int scheduler, const Member& member) {
-    for (const auto& slot : servers)
-        if (slot.server->place().id == member.id && slot.upSinceMs == member.upSinceMs)
-            slot.server->schedulerTold(scheduler);
+    for (const auto& entry : servers)
+        if (entry.server->place().id == member.id && entry.upSinceMs == member.upSinceMs)
+            entry.server->schedulerTold(scheduler);
 }
 
 void Cluster::startProcess(std::size_t i) {
@@ -187,13 +189,13 @@
     });
 }
 
-void Cluster::moveDiscovery(std::size_t i, bool torn) {
+void Cluster::moveDiscovery(std::size_t i, bool truncated) {
     if (!processes[i]->running()) return;
     agents[i]->moveTo(portSource.take());
     processes[i]->writeConfiguration(agents[i]->port(), agents[i]->oldList(0),
-                                     torn ? 200 : std::string::npos);
+                                     truncated ? 200 : std::string::npos);
     processes[i]->reload();
-    if (torn)
+    if (truncated)
         reactor.after(
             30, [this, i] { processes[i]->writeConfiguration(agents[i]->port(), agents[i]->oldList(0)); });
 }
@@ -207,7 +209,7 @@
         agents[i]->setDown(false);
         agents[i]->slowDown(false);
         clearSystemCallFaults(i);
-        processes[i]->readLog(true);
+        processes[i]->setLogReading(true);
     }
 }
 
--- a/kit/soak/cluster.hpp
+++ b/kit/soak/cluster.hpp
@@ -1,5 +1,5 @@
-// The parties of one soak run on loopback, and what is told of them: schedulers with their agents and
-// clients, disk servers, the record of what clients and servers saw.
+// Everything that takes part in one soak run, on loopback: scheduler processes with their discovery agents
+// and clients, disk servers, and the record of the events that they produce.
 #pragma once
 
 #include <cstddef>
@@ -24,35 +24,38 @@
   public:
     struct ServerEntry {
         std::unique_ptr<DiskServer> server;
-        bool removed = false;
-        double upSinceMs = 0;
+        bool removed = false;  // from the node list
+        double upSinceMs = 0;  // wall clock time, as in the node list
     };
+    // `options` outlives this object. Throws std::runtime_error.
     explicit Cluster(const Options& options);
     Cluster(const Cluster&) = delete;
     Cluster& operator=(const Cluster&) = delete;
 
-    // Starts all, and waits until they are ready or time is up. Clients ask from then on.
+    // Starts the schedulers, waits until all are ready or a time-out expires, and then starts the clients.
     void start();
-    // Takes back what lasts until it is taken back.
+    // Ends the faults that do not end by themselves.
     void clearFaults();
     void clearSystemCallFaults(std::size_t scheduler);
-    // Tells all to stop; their clients use open connections up to the kill.
+    // Stops all schedulers; clients keep using open connections until the processes are killed.
     void stop();
 
     DiskServer& addServer(int cell, bool cold);
-    // Discovery tells of the server, in this phase.
-    void announce(const ServerEntry& slot, const std::string& phase);
+    // Publishes the server in the node list, in this phase.
+    void announce(const ServerEntry& entry, const std::string& phase);
     void startProcess(std::size_t scheduler);
+    // Starts the scheduler once `afterMs` have passed and its process has exited.
     void restartAfterExit(std::size_t scheduler, double afterMs);
-    // A new configuration names another address of discovery; `torn`: it is seen half written first.
-    void moveDiscovery(std::size_t scheduler, bool torn);
-    // What surrounds the scheduler is in trouble for so long: no service is demanded of it.
-    void markImpaired(std::size_t scheduler, double lastsMs);
-    double wallClockMs() const;  // as the schedulers see it
-    void logAction(const std::string& words);
-    // The requests of a busy volume come through these schedulers from now on, and tell so many.
+    // Moves the scheduler's discovery agent to another port and reloads its configuration. `truncated`: the
+    // configuration file is incomplete at first.
+    void moveDiscovery(std::size_t scheduler, bool truncated);
+    // The scheduler's environment is impaired for this long: it is not required to serve requests.
+    void markImpaired(std::size_t scheduler, double durationMs);
+    double wallClockMs() const;  // as the schedulers see it, with the injected clock steps
+    void logAction(const std::string& text);
+    // From now on the requests of a busy volume come through these schedulers, and state `hosts` of them.
     void moveVolume(std::size_t volume, const std::vector<int>& schedulers, int hosts);
-    // What the processes have used so far.
+    // Sets `usage` to the resources that the processes have used so far.
     void recordUsage();
 
     const Options& options;
@@ -65,13 +68,13 @@
     std::vector<std::unique_ptr<Clients>> clients;
     std::vector<ServerEntry> servers;
     double startedAt = 0, wallOffsetMs = 0;
-    std::vector<std::string> actionLog;  // what was done, with times
+    std::vector<std::string> actionLog;  // injected faults, with times in ms
     SchedulerProcess::Usage usage;
 
   private:
     bool allReady() const;
     void sampleState();
-    void recordStateChange(EventKind kind, int who, bool well, std::map<int, bool>& last);
+    void recordStateChange(EventKind kind, int index, bool healthy, std::map<int, bool>& states);
     void announceExtraMember(int number, const std::string& phase);
     void churn();
     void onMemberDelivered(int scheduler, const Member& member);
@@ -79,8 +82,8 @@
     EventSink record_;
     std::map<int, bool> healthyCells_, healthySchedulers_;
     std::map<std::size_t, double> impairedUntil_;
-    std::map<std::pair<std::size_t, int>, std::unique_ptr<SteadyClients>>
-        steadyClients_;  // volume, scheduler
+    // By volume and scheduler.
+    std::map<std::pair<std::size_t, int>, std::unique_ptr<SteadyClients>> steadyClients_;
     int replacedMembers_ = 0;
 };
 
--- a/kit/soak/fault_injector.hpp
+++ b/kit/soak/fault_injector.hpp
@@ -1,4 +1,5 @@
-// What a soak run does to its parties: troubles drawn from the run's seed, which overlap.
+// Injects overlapping random faults into a soak run: into disk servers and the node list, into scheduler
+// processes, and into their environment. All choices depend on the run's seed.
 #pragma once
 
 #include <cstddef>
@@ -9,35 +10,35 @@
 
 class FaultInjector {
   public:
-    // `world` outlives this object, and this object the run.
+    // `cluster` outlives this object, and this object the run.
     explicit FaultInjector(Cluster& cluster) : cluster_(cluster) {}
-    // Begins one to three troubles; they end by themselves, or with World::calm().
+    // Starts one to three faults. They end by themselves or with Cluster::clearFaults().
     void injectRandomFaults();
 
   private:
-    // Servers and their list.
+    // Disk servers and the node list.
     Cluster::ServerEntry* drawServer();
     void drainServer();
     void restartServer();
-    void troubleServer();
-    void lateConnections();
-    void cutNetwork();
-    // Schedulers.
+    void hangOrIsolateServer();
+    void delayConnections();
+    void partitionNetwork();
+    // Scheduler processes.
     std::size_t drawScheduler();
     void stopOrKill();
-    void stopPlanned(std::size_t i);
-    void killNow(std::size_t i);
+    void stopGracefully(std::size_t i);
+    void killProcess(std::size_t i);
     void stopDuringStart();
-    void killMostInAnOutage();
-    void stopAQuarter();
-    void crowd();
-    void reload();
-    // What surrounds them.
-    void troubleAgents();
+    void killMostDuringOutage();
+    void stopQuarter();
+    void floodConnections();
+    void reloadConfiguration();
+    // The environment of the schedulers.
+    void disruptAgents();
     void stepClock();
-    void systemCalls();
-    void jamLog();
-    void burst();
+    void failSystemCalls();
+    void stallLogReader();
+    void sendMalformedRequests();
 
     Cluster& cluster_;
 };
--- a/kit/soak/scheduler_process.cpp
+++ b/kit/soak/scheduler_process.cpp
@@ -19,25 +19,26 @@
 namespace spokewheel::soak {
 namespace {
 
-constexpr double kReapMs = 20, kReadyMs = 30;
+constexpr double kExitPollMs = 20, kReadyPollMs = 30;
 
 std::string addressText(int port) { return "127.0.0.1:" + std::to_string(port); }
 
 }  // namespace
 
 SchedulerProcess::SchedulerProcess(Reactor& reactor, const Options& options, EventSink record, int rank,
-                                   const std::vector<Ports>& all)
+                                   const std::vector<Ports>& allPorts)
     : reactor_(reactor),
       options_(options),
       record_(std::move(record)),
       rank_(rank),
-      ports_(all[static_cast<std::size_t>(rank)]),
-      all_(all) {
+      ports_(allPorts[static_cast<std::size_t>(rank)]),
+      allPorts_(allPorts) {
     const int fd = open(path("control").c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
-    if (fd < 0 || ftruncate(fd, sizeof(FaultControl)) != 0) throw std::runtime_error("no control file");
+    if (fd < 0 || ftruncate(fd, sizeof(FaultControl)) != 0)
+        throw std::runtime_error("cannot create the fault control file");
     void* memory = mmap(nullptr, sizeof(FaultControl), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
     ::close(fd);
-    if (memory == MAP_FAILED) throw std::runtime_error("the control file can't be mapped");
+    if (memory == MAP_FAILED) throw std::runtime_error("cannot map the fault control file");
     control_ = static_cast<FaultControl*>(memory);
 }
 
@@ -54,24 +55,26 @@
     munmap(control_, sizeof(FaultControl));
 }
 
-std::string SchedulerProcess::path(const char* what) const {
-    return options_.folder + "/n" + std::to_string(rank_) + "." + what;
+std::string SchedulerProcess::path(const char* extension) const {
+    return options_.folder + "/n" + std::to_string(rank_) + "." + extension;
 }
 
-void SchedulerProcess::note(EventKind kind, int status, const std::string& words) {
+void SchedulerProcess::recordEvent(EventKind kind, int status, const std::string& detail) {
     Event event;
     event.kind = kind;
     event.at = reactor_.now();
     event.scheduler = rank_;
     event.process = incarnation_;
     event.status = status;
-    event.detail = words;
+    event.detail = detail;
     record_(event);
 }
 
-void SchedulerProcess::writeConfiguration(int discoveryPort, const std::string& known, std::size_t most) {
+void SchedulerProcess::writeConfiguration(int discoveryPort, const std::string& nodeList,
+                                          std::size_t maxBytes) {
     std::string peers;
-    for (const auto& one : all_) peers += (peers.empty() ? "\"" : ",\"") + addressText(one.peers) + "\"";
+    for (const auto& ports : allPorts_)
+        peers += (peers.empty() ? "\"" : ",\"") + addressText(ports.peers) + "\"";
     char seed[32];
     std::snprintf(seed, sizeof seed, "%016llx",
                   static_cast<unsigned long long>(options_.seed * 1000003 +
@@ -80,16 +83,16 @@
                       addressText(ports_.clients) + R"(","discovery":")" + addressText(discoveryPort) +
                       R"(","seed":")" + seed + R"(","limits":{"cores":1.0,"memory_mb":64,"sockets":)" +
                       std::to_string(options_.settings.sockets) + R"(},"peer_listen":")" +
-                      addressText(ports_.peers) + R"(","peers":[)" + peers + R"(],"known":)" + known +
+                      addressText(ports_.peers) + R"(","peers":[)" + peers + R"(],"known":)" + nodeList +
                       R"(,"settings":)" + settingsJson(options_, rank_) + "}";
-    std::ofstream(path("json"), std::ios::binary | std::ios::trunc) << text.substr(0, most);
+    std::ofstream(path("json"), std::ios::binary | std::ios::trunc) << text.substr(0, maxBytes);
 }
 
 void SchedulerProcess::start() {
-    int ends[2];
-    if (pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("no pipe for the log");
-    fcntl(ends[1], F_SETPIPE_SZ, options_.logPipeBytes);
-    fcntl(ends[0], F_SETFL, O_NONBLOCK);
+    int pipeEnds[2];
+    if (pipe2(pipeEnds, O_CLOEXEC) != 0) throw std::runtime_error("cannot create the log pipe");
+    fcntl(pipeEnds[1], F_SETPIPE_SZ, options_.logPipeBytes);
+    fcntl(pipeEnds[0], F_SETFL, O_NONBLOCK);
     ++incarnation_;
     startedAt_ = reactor_.now();
     stopping_ = ready_ = false;
@@ -98,60 +101,61 @@
         std::to_string(options_.seed * 131 + static_cast<unsigned>(incarnation_ * 17 + rank_));
     const pid_t parent = getpid();
     pid_ = fork();
-    if (pid_ < 0) throw std::runtime_error("fork failed");
+    if (pid_ < 0) throw std::runtime_error("cannot fork the scheduler process");
     if (pid_ == 0) {
         prctl(PR_SET_PDEATHSIG, SIGKILL);
         if (getppid() != parent) _exit(127);
-        dup2(ends[1], 1);
-        dup2(ends[1], 2);
+        dup2(pipeEnds[1], 1);
+        dup2(pipeEnds[1], 2);
         setenv("LB_CONFIG", configuration.c_str(), 1);
         setenv(kControlVariable, controlFile.c_str(), 1);
         setenv(kSeedVariable, seed.c_str(), 1);
         if (!options_.shimLibrary.empty()) {
             setenv("LD_PRELOAD", options_.shimLibrary.c_str(), 1);
-            setenv("ASAN_OPTIONS", "verify_asan_link_order=0", 1);  // of a daemon built with the sanitizer
+            // Allows the preloaded shim in a daemon that is built with AddressSanitizer.
+            setenv("ASAN_OPTIONS", "verify_asan_link_order=0", 1);
         }
         execl(options_.schedulerBinary.c_str(), options_.schedulerBinary.c_str(), "--platform", nullptr);
         _exit(127);
     }
-    ::close(ends[1]);
+    ::close(pipeEnds[1]);
     if (logPipe_ >= 0) {
         reactor_.unwatchPipe(logPipe_);
         ::close(logPipe_);
     }
-    logPipe_ = ends[0];
-    reads_ = false;
-    readLog(true);
-    note(EventKind::ProcessStarted);
-    reap();
-    askReady();
+    logPipe_ = pipeEnds[0];
+    readingLog_ = false;
+    setLogReading(true);
+    recordEvent(EventKind::ProcessStarted);
+    pollExit();
+    pollReady();
 }
 
-void SchedulerProcess::readLog(bool reads) {
-    if (logPipe_ < 0 || reads == reads_) return;
-    reads_ = reads;
-    if (reads) reactor_.watchPipe(logPipe_, [this] { onLog(); });
+void SchedulerProcess::setLogReading(bool reading) {
+    if (logPipe_ < 0 || reading == readingLog_) return;
+    readingLog_ = reading;
+    if (reading) reactor_.watchPipe(logPipe_, [this] { onLogData(); });
     else reactor_.unwatchPipe(logPipe_);
 }
 
-void SchedulerProcess::onLog() {
+void SchedulerProcess::onLogData() {
     char buffer[8192];
     const ssize_t n = read(logPipe_, buffer, sizeof buffer);
     if (n <= 0) {
-        if (n == 0) readLog(false);
+        if (n == 0) setLogReading(false);
         return;
     }
-    log_.append(buffer, static_cast<std::size_t>(n));
+    logBuffer_.append(buffer, static_cast<std::size_t>(n));
     std::ofstream(path("log"), std::ios::binary | std::ios::app).write(buffer, n);
-    for (std::size_t end; (end = log_.find('\n')) != std::string::npos; log_.erase(0, end + 1)) {
-        const auto line = log_.substr(0, end);
-        if (line.find("invariant_violated") != std::string::npos) note(EventKind::Violation, 0, line);
+    for (std::size_t end; (end = logBuffer_.find('\n')) != std::string::npos; logBuffer_.erase(0, end + 1)) {
+        const auto line = logBuffer_.substr(0, end);
+        if (line.find("invariant_violated") != std::string::npos) recordEvent(EventKind::Violation, 0, line);
         if (line.find("\"level\":\"error\"") != std::string::npos || line.empty() || line[0] != '{')
             unexpectedLogLines_.push_back("n" + std::to_string(rank_) + ": " + line);
     }
 }
 
-void SchedulerProcess::reap() {
+void SchedulerProcess::pollExit() {
     if (pid_ <= 0) return;
     int status = 0;
     if (waitpid(pid_, &status, WNOHANG) == pid_) {
@@ -159,35 +163,35 @@
         ready_ = false;
         const bool byKill = WIFSIGNALED(status) && WTERMSIG(status) == SIGKILL;
         if (!byKill)
-            note(EventKind::Exited, WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status));
+            recordEvent(EventKind::Exited, WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status));
         return;
     }
-    reactor_.after(kReapMs, [this, alive = alive_, life = incarnation_] {
-        if (*alive && life == incarnation_) reap();
+    reactor_.after(kExitPollMs, [this, alive = alive_, incarnation = incarnation_] {
+        if (*alive && incarnation == incarnation_) pollExit();
     });
 }
 
-void SchedulerProcess::askReady() {
+void SchedulerProcess::pollReady() {
     if (pid_ <= 0 || ready_ || stopping_) return;
     const auto link = reactor_.dial(ports_.clients);
-    auto got = std::make_shared<std::string>();
+    auto response = std::make_shared<std::string>();
     const std::weak_ptr<Link> weak = link;
     link->onConnected = [weak] {
-        if (const auto l = weak.lock())
-            l->write("GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
+        if (const auto open = weak.lock())
+            open->write("GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
     };
-    link->onData = [this, alive = alive_, got, life = incarnation_](std::string_view bytes) {
-        *got += bytes;
-        if (!*alive || ready_ || life != incarnation_ || got->find("HTTP/1.1 200") != 0) return;
+    link->onData = [this, alive = alive_, response, incarnation = incarnation_](std::string_view bytes) {
+        *response += bytes;
+        if (!*alive || ready_ || incarnation != incarnation_ || response->find("HTTP/1.1 200") != 0) return;
         ready_ = true;
-        note(EventKind::ProcessReady);
+        recordEvent(EventKind::ProcessReady);
     };
     link->onEnd = [weak](Link::End) {
-        if (const auto l = weak.lock()) l->close();
+        if (const auto open = weak.lock()) open->close();
     };
-    reactor_.after(kReadyMs, [this, alive = alive_, weak, life = incarnation_] {
-        if (const auto l = weak.lock()) l->close();
-        if (*alive && life == incarnation_) askReady();
+    reactor_.after(kReadyPollMs, [this, alive = alive_, weak, incarnation = incarnation_] {
+        if (const auto open = weak.lock()) open->close();
+        if (*alive && incarnation == incarnation_) pollReady();
     });
 }
 
@@ -199,10 +203,10 @@
     if (pid_ <= 0 || stopping_) return;
     stopping_ = true;
     stopRequestedAt_ = reactor_.now();
-    note(EventKind::StopRequested);
+    recordEvent(EventKind::StopRequested);
     ::kill(pid_, SIGTERM);
-    reactor_.after(options_.settings.killAfterMs(), [this, alive = alive_, life = incarnation_] {
-        if (*alive && life == incarnation_) kill();
+    reactor_.after(options_.settings.killAfterMs(), [this, alive = alive_, incarnation = incarnation_] {
+        if (*alive && incarnation == incarnation_) kill();
     });
 }
 
@@ -212,7 +216,7 @@
 
 void SchedulerProcess::kill() {
     if (pid_ <= 0) return;
-    note(EventKind::Killed);
+    recordEvent(EventKind::Killed);
     ::kill(pid_, SIGKILL);
     waitpid(pid_, nullptr, 0);
     pid_ = -1;
@@ -229,7 +233,7 @@
     std::istringstream fields(text.substr(text.rfind(')') + 1));
     std::string skipped;
     double user = 0, system = 0;
-    for (int i = 0; i < 11; ++i) fields >> skipped;  // the state is the first after the name, utime the 12th
+    for (int i = 0; i < 11; ++i) fields >> skipped;  // utime is the 12th field after the name
     fields >> user >> system;
     out.cpuSeconds = (user + system) / static_cast<double>(sysconf(_SC_CLK_TCK));
     for (std::string line; std::getline(status, line);)
--- a/kit/soak/scheduler_process.hpp
+++ b/kit/soak/scheduler_process.hpp
@@ -1,5 +1,5 @@
-// One real scheduler process of the soak: configuration, start with the fault shim, signals, its log and its
-// control memory.
+// Runs one scheduler of a soak run as a real process: writes its configuration, starts it with the fault shim
+// preloaded, sends signals, reads its log and holds the memory that controls the shim.
 #pragma once
 
 #include <sys/types.h>
@@ -14,37 +14,40 @@
 
 namespace spokewheel::soak {
 
+// The ports that a scheduler listens on.
 struct Ports {
     int clients = 0, peers = 0;
 };
 
 class SchedulerProcess {
   public:
+    // `allPorts` holds the ports of all schedulers by rank. Throws std::runtime_error.
     SchedulerProcess(Reactor& reactor, const Options& options, EventSink record, int rank,
-                     const std::vector<Ports>& all);
+                     const std::vector<Ports>& allPorts);
     ~SchedulerProcess();
     SchedulerProcess(const SchedulerProcess&) = delete;
     SchedulerProcess& operator=(const SchedulerProcess&) = delete;
 
-    // The configuration file, whole or cut off after `most` bytes.
-    void writeConfiguration(int discoveryPort, const std::string& known,
-                            std::size_t most = std::string::npos);
-    void start();
+    // Writes the configuration file with the node list to start from; cut off after `maxBytes`.
+    void writeConfiguration(int discoveryPort, const std::string& nodeList,
+                            std::size_t maxBytes = std::string::npos);
+    void start();       // throws std::runtime_error
     void reload();      // SIGHUP
-    void stop();        // SIGTERM, and SIGKILL as the platform does
-    void repeatStop();  // another SIGTERM while it stops
-    void kill();
+    void stop();        // SIGTERM, and SIGKILL once the platform's time to stop is over
+    void repeatStop();  // another SIGTERM to a process that is stopping
+    void kill();        // SIGKILL
     bool running() const { return pid_ > 0; }
     bool stopping() const { return stopping_; }
     bool ready() const { return ready_; }
     double startedAt() const { return startedAt_; }
-    double stopRequestedAt() const { return stopRequestedAt_; }  // when it was last told to stop
-    int incarnation() const { return incarnation_; }             // counts the starts
+    double stopRequestedAt() const { return stopRequestedAt_; }  // of the last stop()
+    int incarnation() const { return incarnation_; }             // number of starts so far
     int port() const { return ports_.clients; }
     FaultControl& control() { return *control_; }
-    void readLog(bool reads);  // false: its pipe fills up
+    void setLogReading(bool reading);  // false: the log pipe fills up
+    // Lines logged at level error, and lines that are not JSON objects.
     const std::vector<std::string>& unexpectedLogLines() const { return unexpectedLogLines_; }
-    // What the process has used so far, by the system's accounts.
+    // Resources that the process has used so far, according to /proc.
     struct Usage {
         double cpuSeconds = 0, peakMb = 0;
         std::size_t descriptors = 0;
@@ -52,24 +55,24 @@
     Usage usage() const;
 
   private:
-    void reap();
-    void askReady();
-    void onLog();
-    void note(EventKind kind, int status = 0, const std::string& words = {});
-    std::string path(const char* what) const;
+    void pollExit();
+    void pollReady();
+    void onLogData();
+    void recordEvent(EventKind kind, int status = 0, const std::string& detail = {});
+    std::string path(const char* extension) const;
 
     Reactor& reactor_;
     const Options& options_;
     EventSink record_;
     int rank_;
     Ports ports_;
-    std::vector<Ports> all_;
+    std::vector<Ports> allPorts_;
     FaultControl* control_ = nullptr;
     pid_t pid_ = -1;
     int logPipe_ = -1, incarnation_ = 0;
-    bool stopping_ = false, ready_ = false, reads_ = true;
+    bool stopping_ = false, ready_ = false, readingLog_ = true;
     double startedAt_ = 0, stopRequestedAt_ = 0;
-    std::string log_;
+    std::string logBuffer_;  // the incomplete last line
     std::vector<std::string> unexpectedLogLines_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/tests/gateway/soak_scenario_test.cpp
+++ b/tests/gateway/soak_scenario_test.cpp
@@ -1,6 +1,6 @@
-// One real scheduler process, a disk server and an agent, and two or three events that cross: the
-// reproductions of the defect hunt. Each waits for conditions; the verdict is the soak judge's or a count at
-// the sockets.
+// Regression tests with one real scheduler process, a disk server and a discovery agent, for faults caused by
+// two or three events that coincide. They wait for conditions instead of fixed times where they can; what
+// happened is checked by the record checker of the soak test or counted at the sockets.
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 #include <unistd.h>
@@ -55,7 +55,7 @@
         process.reset();
         agent.reset();
         servers.clear();
-        if (!HasFailure()) std::filesystem::remove_all(options.folder);  // logs are kept for the search
+        if (!HasFailure()) std::filesystem::remove_all(options.folder);  // logs of failed tests are kept
     }
     int port() { return portSource.take(); }
     DiskServer& addServer(double upSinceMs = 0) {
@@ -63,10 +63,10 @@
             reactor, random, record, DiskServer::Place{"s-" + std::to_string(servers.size()), "a", 0},
             std::vector<int>{port()}));
         servers.back()->setFaulty(false);
-        list(*servers.back(), "up", upSinceMs);
+        announce(*servers.back(), "up", upSinceMs);
         return *servers.back();
     }
-    void list(const DiskServer& server, const std::string& phase, double upSinceMs = 0) {
+    void announce(const DiskServer& server, const std::string& phase, double upSinceMs = 0) {
         agent->change({server.place().id, "a", phase, 0, server.portFor(0), upSinceMs, 0});
     }
     template <class Condition>
@@ -77,7 +77,7 @@
         }
         return true;
     }
-    void pass(double ms) { reactor.runUntil(reactor.now() + ms); }
+    void runFor(double ms) { reactor.runUntil(reactor.now() + ms); }
     void startProcess() {
         process->writeConfiguration(agent->port(), agent->oldList(0));
         process->start();
@@ -92,18 +92,18 @@
             return e.kind == EventKind::Answered && e.status == status && e.at >= from && e.at < until;
         }));
     }
-    static double wallMs() {
-        timespec at{};
-        clock_gettime(CLOCK_REALTIME, &at);
-        return static_cast<double>(at.tv_sec) * 1e3 + static_cast<double>(at.tv_nsec) / 1e6;
+    static double wallClockMs() {
+        timespec wallClock{};
+        clock_gettime(CLOCK_REALTIME, &wallClock);
+        return static_cast<double>(wallClock.tv_sec) * 1e3 + static_cast<double>(wallClock.tv_nsec) / 1e6;
     }
     void stepClock(double offsetMs) {
         process->control().wallOffsetUs.store(static_cast<std::int64_t>(offsetMs * 1000));
     }
-    void rate(Fault fault, std::uint32_t permille) {
+    void setFaultRate(Fault fault, std::uint32_t permille) {
         process->control().permille[static_cast<std::size_t>(fault)].store(permille);
     }
-    void expectKept() {
+    void expectNoViolation() {
         for (const auto& violation : checkRecord(events, defaultRequirements()))
             ADD_FAILURE() << nameOf(violation.rule) << " " << violation.request << ": " << violation.detail;
     }
@@ -120,106 +120,108 @@
     std::unique_ptr<Clients> clients;
 };
 
-// The wall clock is stepped, then a server starts anew and says so by the stepped clock: it is started
-// slowly, and not for longer than its cold time.
+// The wall clock is stepped, then a server restarts and reports a start time by the stepped clock: it gets
+// the slow start of a cold server, and no longer than for its cold time.
 class ClockStep : public Scenario, public ::testing::WithParamInterface<double> {};
 TEST_P(ClockStep, AServerThatStartsAfterItIsStartedSlowlyAndOnce) {
     options.requestsPerSecond = 25;
     servers[0]->setInstant(true);
     startReady();
     clients->start();
-    pass(1000);
-    clients->stop();  // nothing is out when the server goes: only the list tells of its start
-    pass(500);
+    runFor(1000);
+    clients->stop();  // no request is open when the server restarts: only the node list reports it
+    runFor(500);
     stepClock(GetParam());
     servers[0]->restart();
-    list(*servers[0], "up", wallMs() + GetParam());
+    announce(*servers[0], "up", wallClockMs() + GetParam());
     const double restarted = reactor.now();
     clients->start();
-    pass(5000);
+    runFor(5000);
     EXPECT_GT(answers(200, restarted + 3000, restarted + 5000), 30u);
     clients->stop();
-    pass(1500);
-    expectKept();
+    runFor(1500);
+    expectNoViolation();
 }
 INSTANTIATE_TEST_SUITE_P(Steps, ClockStep, ::testing::Values(kHourMs, -kHourMs, -3000.0));
 
-// A healthy watch has been speaking; then a server starts anew and is listed with a start time that can't be:
-// one from before the watch's last word, in the future, or under the known one. Two steps of the clock that
-// cancel between two words of the watch look just like this. It is started slowly all the same. Why it
-// failed: StartTimes took any start time by the wall clock where two lists showed no step between them, so
-// "an hour ago" made the server warm at once: full load from its first second, more than a hundred breaches
-// of slow start in a play.
-struct ToldStart {
+// A server restarts while a watch is healthy, and the node list reports an impossible start time: before the
+// watch's last message, in the future, or before the previous start. Two clock steps that cancel each other
+// between two messages look the same. The server gets a slow start all the same. The fault: StartTimes
+// trusted any start time if two lists showed no clock step between them, so a server that "started an hour
+// ago" counted as warm and got full load from its first second, with more than a hundred violations of slow
+// start in one run.
+struct ReportedStart {
     const char* name;
-    double knownBefore;    // the start that the list says first, relative to now; 0: long ago
-    double told;           // the new start, relative to now
-    bool stepsThatCancel;  // the clock is stepped there, the server starts, and it is stepped back
+    double previousStart;  // reported before the restart, relative to now; 0: long ago
+    double reportedStart;  // reported after the restart, relative to now
+    bool cancellingSteps;  // the clock is stepped by reportedStart, the server restarts, and the clock is
+                           // stepped back
 };
-void PrintTo(const ToldStart& start, std::ostream* out) { *out << start.name; }
-class WrongStartTime : public Scenario, public ::testing::WithParamInterface<ToldStart> {};
+void PrintTo(const ReportedStart& start, std::ostream* out) { *out << start.name; }
+class WrongStartTime : public Scenario, public ::testing::WithParamInterface<ReportedStart> {};
 TEST_P(WrongStartTime, IsNotBelievedAgainstTheWatch) {
     const auto& param = GetParam();
     options.requestsPerSecond = 150;
-    // What is held for the cold server ends while it is under a second old: later one that answers at once,
-    // as this does, completes more than any cold one can, and the module counts completions as room.
-    for (auto& plan : options.settings.classes) plan.deadlineMs = 400;
+    // The requests that wait for the cold server end before it is a second old. After that, a server that
+    // answers at once completes more than a cold one can, and the scheduler sends more as requests complete.
+    for (auto& requestClass : options.settings.classes) requestClass.deadlineMs = 400;
     servers[0]->setInstant(true);
-    if (param.knownBefore != 0) list(*servers[0], "up", std::floor(wallMs() + param.knownBefore));
+    if (param.previousStart != 0)
+        announce(*servers[0], "up", std::floor(wallClockMs() + param.previousStart));
     startReady();
     clients->start();
-    pass(2500);  // the watch says a line every 2 s
+    runFor(2500);  // the watch sends a message every 2 s
     clients->stop();
-    pass(500);
-    if (param.stepsThatCancel) {
-        stepClock(param.told);
-        pass(20);
+    runFor(500);
+    if (param.cancellingSteps) {
+        stepClock(param.reportedStart);
+        runFor(20);
     }
     servers[0]->restart();
-    const double told = std::floor(wallMs() + param.told);
-    if (param.stepsThatCancel) {
+    const double reportedStart = std::floor(wallClockMs() + param.reportedStart);
+    if (param.cancellingSteps) {
         stepClock(0);
-        pass(20);
+        runFor(20);
     }
-    list(*servers[0], "up", told);
+    announce(*servers[0], "up", reportedStart);
     clients->start();
-    pass(500);
+    runFor(500);
     clients->stop();
-    pass(3800);
-    const double warm = reactor.now();  // and it is held back for its cold time only
+    runFor(3800);
+    const double warm = reactor.now();  // the slow start lasts for the cold time only
     clients->start();
-    pass(500);
+    runFor(500);
     clients->stop();
-    pass(1500);
+    runFor(1500);
     EXPECT_GT(answers(200, warm), 40u);
-    expectKept();
+    expectNoViolation();
 }
 INSTANTIATE_TEST_SUITE_P(Told, WrongStartTime,
-                         ::testing::Values(ToldStart{"AnHourBack", 0, -kHourMs, false},
-                                           ToldStart{"AMinuteBack", 0, -60e3, false},
-                                           ToldStart{"InTheFuture", 0, kHourMs, false},
-                                           ToldStart{"UnderTheKnownOne", -600e3, -1200e3, false},
-                                           ToldStart{"AfterStepsThatCancel", -600e3, -kHourMs, true},
-                                           ToldStart{"AfterSmallStepsThatCancel", 0, -5000, true}),
+                         ::testing::Values(ReportedStart{"AnHourBack", 0, -kHourMs, false},
+                                           ReportedStart{"AMinuteBack", 0, -60e3, false},
+                                           ReportedStart{"InTheFuture", 0, kHourMs, false},
+                                           ReportedStart{"UnderTheKnownOne", -600e3, -1200e3, false},
+                                           ReportedStart{"AfterStepsThatCancel", -600e3, -kHourMs, true},
+                                           ReportedStart{"AfterSmallStepsThatCancel", 0, -5000, true}),
                          [](const auto& info) { return std::string(info.param.name); });
 
-// The process is held up for up to 150 ms at each look at its sockets, so that requests wait before they are
-// read and again after it. What each attempt tells its server is still at most what its client has left, with
-// the slack of the terms, and no attempt begins for a client that has gone. Why it failed: a request's time
-// was counted from when the process read it; two hold-ups in a row, one under way as it came and one at the
-// look that found it, hid up to 300 ms ("told 999 ms with 789 ms left").
+// The process is delayed by up to 150 ms at each poll of its sockets, so that requests wait before they are
+// read and again afterwards. The timeout in an attempt must still be no longer than what its client has left,
+// with the allowed slack, and no attempt may begin for a client that has gone. The fault: a request's time
+// was counted from when the process read it; two delays in a row, one in progress as the request came and one
+// at the poll that found it, hid up to 300 ms (a timeout of 999 ms with 789 ms left).
 class HoldUp : public Scenario {
   protected:
-    void play() {
+    void runDelayed() {
         options.requestsPerSecond = 40;
         startReady();
         process->control().pauseMs.store(150);
-        rate(Fault::Pause, 1000);
+        setFaultRate(Fault::Pause, 1000);
         clients->start();
-        pass(6000);
+        runFor(6000);
         clients->stop();
-        rate(Fault::Pause, 0);
-        pass(2000);
+        setFaultRate(Fault::Pause, 0);
+        runFor(2000);
         std::size_t attempts = 0;
         for (const auto& e : events) attempts += e.kind == EventKind::AttemptWhole;
         EXPECT_GT(attempts, 30u);
@@ -229,180 +231,181 @@
                               << violation.detail;
     }
 };
-TEST_F(HoldUp, NoServerIsToldMoreTimeThanTheClientHas) { play(); }
+TEST_F(HoldUp, NoServerIsToldMoreTimeThanTheClientHas) { runDelayed(); }
 TEST_F(HoldUp, NorWithRequestsPipelinedAndClientsThatLeave) {
     options.injectFaults = true;
-    play();
+    runDelayed();
 }
-// Idle connections fill the process's places, so that new ones wait to be taken as well.
+// Idle connections use up the process's descriptors, so that new connections wait to be accepted as well.
 TEST_F(HoldUp, NorBesideACrowdOfIdleConnections) {
     startReady();
-    std::vector<LinkPtr> crowd;
+    std::vector<LinkPtr> idleLinks;
     for (int i = 0; i < 400; ++i) {
-        crowd.push_back(reactor.dial(process->port()));
-        if (i % 40 == 0) pass(10);
+        idleLinks.push_back(reactor.dial(process->port()));
+        if (i % 40 == 0) runFor(10);
     }
-    play();
-    for (const auto& link : crowd) link->close();
+    runDelayed();
+    for (const auto& link : idleLinks) link->close();
 }
 
-// Each connection to the server comes up 120 to 240 ms after it was dialled: that long lies between the
-// moment at which units are drawn from a limit, or from what a cold server bears, and the bytes that the
-// server counts. All connections are closed again and again, so that what was drawn at several moments comes
-// at once.
+// Each connection to the server is established 120 to 240 ms after it was dialled. This time lies between the
+// moment at which units are drawn from a limit, or from the budget of a cold server, and the arrival at the
+// server, where they are counted. All connections are closed again and again, so that units drawn at several
+// moments arrive together.
 class SlowDials : public Scenario {
   protected:
     void SetUp() override {
         Scenario::SetUp();
         servers[0]->setInstant(true);
     }
-    void play(double ms) {
+    void runWithSlowDials(double ms) {
         process->control().dialMs.store(240);
-        rate(Fault::SlowDial, 1000);
-        // Such a server is not well: no service is demanded, for dials count as its time and narrow its
-        // window.
-        Event troubled;
-        troubled.kind = EventKind::SchedulerState;
-        troubled.at = reactor.now();
-        troubled.scheduler = 0;
-        record(troubled);
+        setFaultRate(Fault::SlowDial, 1000);
+        // No service is required meanwhile: the time of a dial counts as latency of the server and narrows
+        // its window.
+        Event impaired;
+        impaired.kind = EventKind::SchedulerState;
+        impaired.at = reactor.now();
+        impaired.scheduler = 0;
+        record(impaired);
         for (const double until = reactor.now() + ms; reactor.now() < until;) {
             servers[0]->closeIdle(true);
-            pass(500);
+            runFor(500);
         }
     }
-    std::size_t dialsHeldBack() const {
+    std::size_t delayedDials() const {
         return process->control().injected[static_cast<std::size_t>(Fault::SlowDial)].load();
     }
 };
 TEST_F(SlowDials, NoLimitIsPassed) {
     options.requestsPerSecond = 120;
     startReady();
-    pass(1500);  // the volumes' stores are full
+    runFor(1500);  // the volumes' buckets are full
     clients->start();
-    play(5000);
+    runWithSlowDials(5000);
     clients->stop();
-    pass(1500);
-    EXPECT_GT(dialsHeldBack(), 10u);
-    expectKept();
+    runFor(1500);
+    EXPECT_GT(delayedDials(), 10u);
+    expectNoViolation();
 }
 TEST_F(SlowDials, NoColdServerGetsTooMuch) {
     options.requestsPerSecond = 60;
     startReady();
     clients->start();
-    servers[0]->setInstant(false);  // it does what a cold server can
+    servers[0]->setInstant(false);  // works at the speed of a cold server
     for (int i = 0; i < 2; ++i) {
         servers[0]->restart();
-        list(*servers[0], "up", std::floor(wallMs()));
-        play(1600);
+        announce(*servers[0], "up", std::floor(wallClockMs()));
+        runWithSlowDials(1600);
     }
     clients->stop();
-    pass(1500);
-    EXPECT_GT(dialsHeldBack(), 5u);
-    expectKept();
+    runFor(1500);
+    EXPECT_GT(delayedDials(), 5u);
+    expectNoViolation();
 }
 
-// The server cuts uploads off once a part of them has come: that part never ran, so that also what may run
-// only once is sent again and served, once.
+// The server resets uploads after a part of them has arrived. An incomplete request was not executed, so even
+// requests of a class that may run only once are sent again, and executed once.
 TEST_F(Scenario, AnUploadThatIsCutOffInItsMiddleIsSentAgainAndRunsOnce) {
     options.requestsPerSecond = 40;
     startReady();
-    rate(Fault::ShortWrite, 1000);  // a part at a time
+    setFaultRate(Fault::ShortWrite, 1000);  // in parts
     clients->start();
     for (int i = 0; i < 12; ++i) {
         servers[0]->breakUploads(1);
         EXPECT_TRUE(runUntil(3000, [&] { return servers[0]->uploadsToBreak() == 0; }));
-        pass(150);
+        runFor(150);
     }
     clients->stop();
-    pass(2500);
-    expectKept();
-    std::map<std::string, int> begun, executed;
+    runFor(2500);
+    expectNoViolation();
+    std::map<std::string, int> attempts, executed;
     for (const auto& e : events) {
-        if (e.kind == EventKind::AttemptBegan && e.requestClass == "once") ++begun[e.request];
+        if (e.kind == EventKind::AttemptBegan && e.requestClass == "once") ++attempts[e.request];
         if (e.kind == EventKind::Executed && e.requestClass == "once") ++executed[e.request];
     }
-    std::size_t again = 0;
-    for (const auto& [request, times] : begun) again += times > 1 && executed[request] == 1;
-    EXPECT_GT(again, 0u);
+    std::size_t sentAgain = 0;
+    for (const auto& [request, times] : attempts) sentAgain += times > 1 && executed[request] == 1;
+    EXPECT_GT(sentAgain, 0u);
 }
 
-// The process is killed right after it was given a connection, and while requests come: what it had taken is
-// its clients' to send again, and nothing of it runs twice or is answered by somebody else's answer.
+// The process is killed right after it accepted a connection, while requests arrive. Its clients may retry
+// what it had read; nothing runs twice, and no client gets the answer to another request.
 TEST_F(Scenario, AKillRightAfterAnAcceptLeavesNothingBehind) {
     options.requestsPerSecond = 60;
     startReady();
     clients->start();
-    pass(300);
+    runFor(300);
     for (int i = 0; i < 12; ++i) {
-        std::vector<LinkPtr> fresh;
-        for (int n = 0; n < 5; ++n) fresh.push_back(reactor.dial(process->port()));
-        pass(static_cast<double>(i % 4) / 2);
+        std::vector<LinkPtr> newLinks;
+        for (int n = 0; n < 5; ++n) newLinks.push_back(reactor.dial(process->port()));
+        runFor(static_cast<double>(i % 4) / 2);
         process->kill();
         startProcess();
         ASSERT_TRUE(runUntil(8000, [&] { return process->ready(); }));
-        pass(100);
-        for (const auto& link : fresh) link->close();
+        runFor(100);
+        for (const auto& link : newLinks) link->close();
     }
     clients->stop();
-    pass(2000);
+    runFor(2000);
     EXPECT_GT(answers(200, 0), 20u);
-    expectKept();
+    expectNoViolation();
 }
 
-// Nobody reads the log: requests go on, and the process still stops.
+// The log pipe is full because nobody reads it: requests are still served, and the process still stops.
 TEST_F(Scenario, AFullLogPipeHoldsUpNothing) {
     startReady();
-    process->readLog(false);
+    process->setLogReading(false);
     for (int i = 0; i < 60; ++i) {
         process->writeConfiguration(agent->port(), agent->oldList(0), i % 2 ? std::string::npos : 200);
         process->reload();
-        pass(60);
+        runFor(60);
     }
     clients->start();
     const double from = reactor.now();
-    pass(1500);
+    runFor(1500);
     EXPECT_GT(answers(200, from), 5u);
     clients->stop();
     process->stop();
     EXPECT_TRUE(runUntil(5000, [&] { return !process->running(); }));
-    expectKept();  // the kill would be found as one that was needed
+    expectNoViolation();  // a request that was open at a kill would count as lost
     EXPECT_TRUE(std::none_of(events.begin(), events.end(),
                              [](const Event& e) { return e.kind == EventKind::Killed; }));
 }
 
-// The users' collector kept 300 characters of each line: pulses ended in the middle of a key, and what it
-// held of limits stood nowhere. Each line is a whole object now, and at its end a process tells both.
+// The users' log collector truncates lines at 300 characters: pulse lines were cut in the middle of a key,
+// and the limit accounts were not logged at all. Each line is a complete JSON object of at most 300
+// characters, and a process that stops logs its last pulse and its limit accounts.
 TEST_F(Scenario, NoLogLineIsCutShortAndTheEndTellsWhatWasHeldOfLimits) {
     options.logPipeBytes = 65536;
     options.requestsPerSecond = 60;
     startReady();
     clients->start();
-    pass(1500);
+    runFor(1500);
     clients->stop();
     process->stop();
     ASSERT_TRUE(runUntil(5000, [&] { return !process->running(); }));
-    pass(100);
+    runFor(100);
     std::ifstream log(options.folder + "/n0.log");
-    std::map<std::string, int> events;
+    std::map<std::string, int> linesByEvent;
     for (std::string line; std::getline(log, line);) {
         EXPECT_LE(line.size(), 300u) << line;
         EXPECT_EQ(line.back(), '}') << line;
         const auto from = line.find("\"event\":\"") + 9;
-        ++events[line.substr(from, line.find('"', from) - from)];
+        ++linesByEvent[line.substr(from, line.find('"', from) - from)];
     }
-    EXPECT_GT(events["pulse"], 0);
-    EXPECT_GT(events["pulse_ends"], 0);
-    EXPECT_GT(events["limit_account"], 1);
+    EXPECT_GT(linesByEvent["pulse"], 0);
+    EXPECT_GT(linesByEvent["pulse_ends"], 0);
+    EXPECT_GT(linesByEvent["limit_account"], 1);
 }
 
-// Clients that connect anew after each answer, also after SIGTERM: the process ends by itself before the
-// kill, and what it took has an answer.
+// Clients that open a new connection after each answer, also after SIGTERM. The process exits by itself
+// before it would be killed.
 class ReconnectingClients : public Scenario {
   protected:
     void connect() {
         const auto link = reactor.dial(process->port());
-        const std::weak_ptr<Link> weak = link;  // its callbacks may not keep it
+        const std::weak_ptr<Link> weak = link;  // a callback that owned its link would keep it alive
         auto answered = std::make_shared<bool>(false);
         link->onConnected = [this, weak] {
             RequestText text;
@@ -414,54 +417,54 @@
             text.timeoutMs = options.settings.classes.front().deadlineMs;
             text.volume = "00000000000000aa";
             if (const auto open = weak.lock()) open->write(textOf(text));
-            ++asked;
+            ++sent;
         };
         link->onData = [this, weak, answered](std::string_view) {
             if (std::exchange(*answered, true)) return;
-            ++got;
+            ++received;
             if (const auto open = weak.lock()) open->close();
             connect();
         };
         link->onEnd = [this, answered](Link::End) {
             if (std::exchange(*answered, true) || !process->running()) return;
-            ++ended;
+            ++closedUnanswered;
             reactor.after(5, [this] { connect(); });
         };
     }
-    int asked = 0, got = 0, ended = 0;
+    int sent = 0, received = 0, closedUnanswered = 0;
 };
 TEST_F(ReconnectingClients, DoNotKeepAProcessThatIsToldToEnd) {
     startReady();
-    pass(1000);
+    runFor(1000);
     for (int i = 0; i < 6; ++i) connect();
-    pass(500);
-    EXPECT_GT(got, 20);
+    runFor(500);
+    EXPECT_GT(received, 20);
     process->stop();
     const double killAt = process->stopRequestedAt() + options.settings.killAfterMs();
     EXPECT_TRUE(runUntil(killAt - 100 - reactor.now(), [&] { return !process->running(); }))
-        << "asked " << asked << ", answered " << got << ", ended without " << ended;
-    pass(200);
-    const bool byItself = std::any_of(events.begin(), events.end(), [](const Event& e) {
+        << "sent " << sent << ", answered " << received << ", closed without an answer " << closedUnanswered;
+    runFor(200);
+    const bool exitedOnStop = std::any_of(events.begin(), events.end(), [](const Event& e) {
         return e.kind == EventKind::Exited && e.status == 0;
     });
-    EXPECT_TRUE(byItself);
+    EXPECT_TRUE(exitedOnStop);
 }
 
-// A third of the accepts fails for a moment while a crowd connects: who connects behind it is answered in
-// time all the same.
+// 30 % of the accept calls fail for a moment while many idle clients connect: a client that connects behind
+// them is still answered in time.
 TEST_F(ReconnectingClients, AreTakenBehindACrowdThoughAcceptFailsForAMoment) {
     startReady();
-    rate(Fault::Accept, 300);
+    setFaultRate(Fault::Accept, 300);
     clients->crowd(400, 4000);
-    pass(20);
+    runFor(20);
     connect();
     const double answerByMs = options.settings.classes.front().deadlineMs + 500;
-    EXPECT_TRUE(runUntil(answerByMs, [&] { return got > 0; }));
-    rate(Fault::Accept, 0);
+    EXPECT_TRUE(runUntil(answerByMs, [&] { return received > 0; }));
+    setFaultRate(Fault::Accept, 0);
 }
 
-// SIGHUP comes while the new configuration is half written; the list service moves, and a server drains right
-// after: it is heard of at the new place in time.
+// SIGHUP arrives while the new configuration is half written. The discovery service moves to another port,
+// and a server drains right after: the scheduler learns of it from the new port in time.
 TEST_F(Scenario, AConfigurationThatIsReadHalfWrittenIsReadAgain) {
     options.requestsPerSecond = 40;
     startReady();
@@ -469,127 +472,127 @@
     agent->moveTo(port());
     process->writeConfiguration(agent->port(), agent->oldList(0), 200);
     process->reload();
-    pass(200);
+    runFor(200);
     process->writeConfiguration(agent->port(), agent->oldList(0));
-    pass(1400);  // the old place has closed what was open to it
+    runFor(1400);  // connections to the old port are closed by now
     servers[0]->setDraining(true);
-    list(*servers[0], "draining");
+    announce(*servers[0], "draining");
     addServer();
-    pass(8000);
+    runFor(8000);
     clients->stop();
-    pass(1500);
-    expectKept();
+    runFor(1500);
+    expectNoViolation();
 }
 
-// A client that has been served stops in the middle of its next request and stays: it is told within 3 s. One
-// that goes on writing, however slowly, is not.
+// A client that was served before stops in the middle of its next request and stays connected: it gets a 408
+// within 3 s. One that keeps writing, however slowly, does not.
 TEST_F(Scenario, HalfARequestOnAKeptConnectionIsToldOffInTime) {
     startReady();
-    std::string got;
+    std::string received;
     double ended = 0;
     const auto link = reactor.dial(process->port());
-    link->onData = [&](std::string_view bytes) { got += bytes; };
+    link->onData = [&](std::string_view bytes) { received += bytes; };
     link->onEnd = [&](Link::End) { ended = reactor.now(); };
     link->write("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-    ASSERT_TRUE(runUntil(2000, [&] { return got.find("HTTP/1.1 200") == 0; }));
-    got.clear();
+    ASSERT_TRUE(runUntil(2000, [&] { return received.find("HTTP/1.1 200") == 0; }));
+    received.clear();
     const std::string request = "GET /ready HTTP/1.1\r\nHost: xxxxxxxxxxxxxxxxxxxxxxxxxxx\r\n\r\n";
     for (const char c : request) {
         link->write(std::string(1, c));
-        pass(80);
+        runFor(80);
     }
-    EXPECT_TRUE(runUntil(1000, [&] { return got.find("HTTP/1.1 200") == 0; })) << got;
-    got.clear();
+    EXPECT_TRUE(runUntil(1000, [&] { return received.find("HTTP/1.1 200") == 0; })) << received;
+    received.clear();
     link->write(request.substr(0, 20));
     const double stopped = reactor.now();
     EXPECT_TRUE(runUntil(8000, [&] { return ended > 0; }));
-    EXPECT_EQ(got.find("HTTP/1.1 408"), 0u) << got;
+    EXPECT_EQ(received.find("HTTP/1.1 408"), 0u) << received;
     EXPECT_LT(ended - stopped, 3000);
 }
 
-// A request crosses the end of a resting connection at a planned stop: its client may send it again, for not
-// a byte of it was read.
+// At a planned stop, a request is sent while the scheduler closes the idle connection. The client may retry
+// it, because not a byte of it is read.
 TEST_F(Scenario, ARequestThatCrossesTheEndOfItsConnectionIsNotRead) {
     startReady();
-    std::string got;
+    std::string received;
     bool ended = false;
     const auto link = reactor.dial(process->port());
     const int clientPort = link->localPort();
-    link->onData = [&](std::string_view bytes) { got += bytes; };
+    link->onData = [&](std::string_view bytes) { received += bytes; };
     link->onEnd = [&](Link::End) { ended = true; };
     const std::string request = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
     link->write(request);
-    ASSERT_TRUE(runUntil(2000, [&] { return got.find("HTTP/1.1 200") == 0; }));
+    ASSERT_TRUE(runUntil(2000, [&] { return received.find("HTTP/1.1 200") == 0; }));
     process->stop();
     ASSERT_TRUE(runUntil(1800, [&] { return ended; }));
     link->write(request);
-    pass(750);
+    runFor(750);
     EXPECT_EQ(process->control().readFromPort[clientPort].load(), request.size());
 }
 
-// Sockets can't be had for a moment while a process starts: it starts all the same.
+// Socket calls fail for a moment while a process starts: it starts all the same.
 TEST_F(Scenario, AProcessStartsThoughSocketsFailForAMoment) {
     for (int i = 0; i < 10; ++i) {
-        rate(Fault::Socket, 400);
-        rate(Fault::Accept, 400);
-        rate(Fault::Connect, 400);
+        setFaultRate(Fault::Socket, 400);
+        setFaultRate(Fault::Accept, 400);
+        setFaultRate(Fault::Connect, 400);
         startProcess();
-        pass(400);
-        for (const auto fault : {Fault::Socket, Fault::Accept, Fault::Connect}) rate(fault, 0);
+        runFor(400);
+        for (const auto fault : {Fault::Socket, Fault::Accept, Fault::Connect}) setFaultRate(fault, 0);
         EXPECT_TRUE(runUntil(6000, [&] { return process->ready() || !process->running(); }));
         EXPECT_TRUE(process->running()) << "start " << i;
         process->kill();
     }
 }
 
-// This machine has no ports or buffers for connections for a moment: no server is to blame, and no request is
-// lost by it.
+// The machine has no ports or buffers for new connections for a moment. This is not counted against a server,
+// and no request fails because of it.
 TEST_F(Scenario, AShortageOfThisMachineFailsNoRequest) {
     options.requestsPerSecond = 60;
     startReady();
     servers[0]->setInstant(true);
-    pass(1500);  // the volumes' shares are full, so that no limit refuses
+    runFor(1500);  // the volumes' buckets are full, so that no request is refused by a limit
     clients->start();
-    pass(500);
+    runFor(500);
     for (int i = 0; i < 4; ++i) {
-        servers[0]->closeIdle();  // so that connections are needed
-        rate(Fault::Connect, 1000);
-        pass(150);
-        rate(Fault::Connect, 0);
-        pass(300);
+        servers[0]->closeIdle();  // so that new connections are needed
+        setFaultRate(Fault::Connect, 1000);
+        runFor(150);
+        setFaultRate(Fault::Connect, 0);
+        runFor(300);
     }
     clients->stop();
-    pass(1500);
+    runFor(1500);
     EXPECT_EQ(answers(502, 0) + answers(503, 0), 0u);
     EXPECT_GT(answers(200, 0), 60u);
-    expectKept();
+    expectNoViolation();
 }
 
-// A server drains, then discovery goes down, then the process is killed and starts anew: its configuration's
-// list does not know of the drain, and nobody tells. Its agent had the change before it fell silent.
-// Why it failed: after 2.5 s of silence the process took that list for the truth, so as to be ready, and sent
-// to the drained server ("at s-0 5251 ms after the notice", 94 requests in one play). Nothing on its machine
-// could know better. Now nothing is sent by that list alone (platform/decide_start.hpp).
+// A server drains, then discovery goes down, then the process is killed and restarted with a node list in its
+// configuration that does not have the drain. The agent had received the change before the outage. The fault:
+// after 2.5 s without discovery the process became ready by that list and sent to the drained server, up to
+// 5251 ms after the drain notice and 94 requests in one run. Nothing on its machine knew better, so nothing
+// is sent by that list alone now (platform/decide_start.hpp).
 TEST_F(Scenario, AStartWhileDiscoveryIsDownSendsToNoServerThatDrainedBefore) {
     options.requestsPerSecond = 40;
-    const auto old = agent->oldList(0);
+    const auto oldNodeList = agent->oldList(0);
     startReady();
     clients->start();
-    pass(300);
+    runFor(300);
     servers[0]->setDraining(true);
-    list(*servers[0], "draining");
+    announce(*servers[0], "draining");
     addServer();
-    pass(300);
+    runFor(300);
     agent->setDown(true);
     process->kill();
-    process->writeConfiguration(agent->port(), old);
+    process->writeConfiguration(agent->port(), oldNodeList);
     process->start();
-    pass(5000);
+    runFor(5000);
     agent->setDown(false);
-    pass(2500);
+    runFor(2500);
     clients->stop();
-    pass(1500);
-    expectKept();
+    runFor(1500);
+    expectNoViolation();
 }
 
 }  // namespace
--- a/tests/gateway/soak_start_test.cpp
+++ b/tests/gateway/soak_start_test.cpp
@@ -1,10 +1,10 @@
-// Starts of real processes while discovery is down, in fleets and in outages of several lengths.
+// Starts of real scheduler processes while discovery is down, in fleets and in outages of several lengths.
 //
-// What happened: a server drained, discovery went down, a process was killed and started anew. Its agent,
-// which had the drain, was silent; after 2.5 s the process took its configuration's list for the truth and
-// sent to the drained server for as long as the outage lasted ("at s-0 5251 ms after the notice"). A restart
-// in the platform's own plays showed that such a list does lag: 42 of 42 processes that were restarted in a
-// release were given a list two changes behind what their agents said milliseconds later. See
+// The fault that these tests guard against: a server drained, discovery went down, and a process was killed
+// and restarted. Its agent knew of the drain but did not answer; after 2.5 s the process used the node list
+// in its configuration and sent to the drained server for as long as the outage lasted, up to 5251 ms after
+// the drain notice. Such a list is often out of date: in a release on the platform, 42 of 42 restarted
+// processes were given a list two changes behind what their agents reported milliseconds later. See
 // docs/incidents/2026-12-03-start-in-an-outage.md.
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -24,11 +24,11 @@
 namespace spokewheel::soak {
 namespace {
 
-// A fleet with its agents, and two disk servers: one in cell 0, which will drain, and one in cell 1, which
-// stays.
+// Schedulers with their agents, and two disk servers: one in cell 0, which will drain, and one in cell 1,
+// which stays up.
 class StartFleet : public ::testing::Test {
   protected:
-    void raise(int schedulers, bool peers) {
+    void startFleet(int schedulers, bool peers) {
         std::signal(SIGPIPE, SIG_IGN);
         options.schedulerBinary = SPOKEWHEEL_BIN "/spokewheeld";
         options.shimLibrary = SPOKEWHEEL_BIN "/spokewheel_faults.so";
@@ -58,15 +58,15 @@
         ASSERT_TRUE(runUntil(8000, [&] {
             return std::all_of(processes.begin(), processes.end(), [](auto& p) { return p->ready(); });
         }));
-        for (const auto& one : clients) one->start();
-        pass(500);
+        for (const auto& group : clients) group->start();
+        runFor(500);
     }
     void TearDown() override {
         clients.clear();
         processes.clear();
         agents.clear();
         servers.clear();
-        if (!HasFailure()) std::filesystem::remove_all(options.folder);  // logs are kept for the search
+        if (!HasFailure()) std::filesystem::remove_all(options.folder);  // logs of failed tests are kept
     }
     int port() { return portSource.take(); }
     void addServer(int cell) {
@@ -76,61 +76,65 @@
             reactor, random, record, DiskServer::Place{"s-" + std::to_string(servers.size()), "a", cell},
             ports));
         servers.back()->setFaulty(false);
-        list(*servers.back(), "up");
+        announce(*servers.back(), "up");
     }
-    void list(const DiskServer& server, const std::string& phase) {
+    void announce(const DiskServer& server, const std::string& phase) {
         for (int i = 0; i < options.schedulers; ++i)
             agents[static_cast<std::size_t>(i)]->change(
                 {server.place().id, "a", phase, server.place().cell, server.portFor(i), 0, 0});
     }
-    void start(std::size_t i, const std::string& known = {}) {
-        processes[i]->writeConfiguration(agents[i]->port(), known.empty() ? agents[i]->oldList(0) : known);
+    void start(std::size_t i, const std::string& nodeList = {}) {
+        processes[i]->writeConfiguration(agents[i]->port(),
+                                         nodeList.empty() ? agents[i]->oldList(0) : nodeList);
         processes[i]->start();
     }
-    // No service is demanded of the scheduler from now on, or again: nothing tells it what it may use.
-    void noteState(EventKind kind, int who, bool well) {
+    // Records the health of a cell or of a scheduler's environment; service is required only while it is
+    // healthy.
+    void recordState(EventKind kind, int index, bool healthy) {
         Event event;
         event.kind = kind;
         event.at = reactor.now();
-        event.status = well;
-        if (kind == EventKind::CellState) event.server = std::to_string(who);
-        else event.scheduler = who;
+        event.status = healthy;
+        if (kind == EventKind::CellState) event.server = std::to_string(index);
+        else event.scheduler = index;
         record(event);
     }
-    void startWithoutAWord(std::size_t i, const std::string& known) {
-        noteState(EventKind::SchedulerState, static_cast<int>(i), false);
-        withoutAWord.push_back(static_cast<int>(i));
-        start(i, known);
+    // Starts a process that cannot learn which servers it may use until the outage is over.
+    void startUninformed(std::size_t i, const std::string& nodeList) {
+        recordState(EventKind::SchedulerState, static_cast<int>(i), false);
+        uninformed.push_back(static_cast<int>(i));
+        start(i, nodeList);
     }
-    void discoveryDown(bool down) {
+    void setDiscoveryDown(bool down) {
         for (const auto& agent : agents) agent->setDown(down);
     }
-    // The server of cell 0 drains, all hear of it, and then discovery goes down.
+    // The server of cell 0 drains, all schedulers learn of it, and then discovery goes down.
     void drainThenOutage() {
-        for (const auto& agent : agents) old.push_back(agent->oldList(0));
-        noteState(EventKind::CellState, 0, false);  // until the end: nothing takes its place
+        for (const auto& agent : agents) oldNodeLists.push_back(agent->oldList(0));
+        recordState(EventKind::CellState, 0, false);  // for the rest of the test: it is not replaced
         servers[0]->setDraining(true);
-        list(*servers[0], "draining");
-        pass(300);
-        discoveryDown(true);
+        announce(*servers[0], "draining");
+        runFor(300);
+        setDiscoveryDown(true);
     }
-    void end(double afterOutageMs = 2500) {
-        discoveryDown(false);
-        pass(500);
-        for (const int i : withoutAWord) noteState(EventKind::SchedulerState, i, true);
-        pass(afterOutageMs - 500);
-        for (const auto& one : clients) one->stop();
-        pass(1500);
+    void endOutageAndCheck(double afterOutageMs = 2500) {
+        setDiscoveryDown(false);
+        runFor(500);
+        for (const int i : uninformed) recordState(EventKind::SchedulerState, i, true);
+        runFor(afterOutageMs - 500);
+        for (const auto& group : clients) group->stop();
+        runFor(1500);
         for (const auto& violation : checkRecord(events, defaultRequirements()))
             ADD_FAILURE() << nameOf(violation.rule) << " n" << violation.scheduler << " " << violation.request
                           << ": " << violation.detail;
     }
-    // By the scheduler's present process: an answer of the one before may be read just after its end.
+    // Answers of the scheduler's current process only: an answer of the previous one may be read after its
+    // end.
     std::size_t served(int scheduler, double from, double until = 1e18) const {
-        const int life = processes[static_cast<std::size_t>(scheduler)]->incarnation();
+        const int incarnation = processes[static_cast<std::size_t>(scheduler)]->incarnation();
         return static_cast<std::size_t>(std::count_if(events.begin(), events.end(), [&](const Event& e) {
             return e.kind == EventKind::Answered && e.status == 200 && e.scheduler == scheduler &&
-                   e.process == life && e.at >= from && e.at < until;
+                   e.process == incarnation && e.at >= from && e.at < until;
         }));
     }
     template <class Condition>
@@ -141,7 +145,7 @@
         }
         return true;
     }
-    void pass(double ms) { reactor.runUntil(reactor.now() + ms); }
+    void runFor(double ms) { reactor.runUntil(reactor.now() + ms); }
 
     Options options;
     Reactor reactor;
@@ -149,89 +153,89 @@
     Random random{11};
     EventSink record;
     std::vector<Event> events;
-    std::vector<std::string> old;
-    std::vector<int> withoutAWord;
+    std::vector<std::string> oldNodeLists;
+    std::vector<int> uninformed;
     std::vector<std::unique_ptr<DiskServer>> servers;
     std::vector<std::unique_ptr<Agent>> agents;
     std::vector<std::unique_ptr<SchedulerProcess>> processes;
     std::vector<std::unique_ptr<Clients>> clients;
 };
 
-// Alone, in outages shorter and longer than any wait: nothing goes to the drained server, the process is
-// ready within the terms, and serves what stays up once discovery is back.
+// A scheduler without peers, in outages shorter and longer than its waiting times: nothing is sent to the
+// drained server, the process is ready in time, and it serves from the other server once discovery is back.
 class OutageAlone : public StartFleet, public ::testing::WithParamInterface<double> {};
 TEST_P(OutageAlone, SendsToNoServerThatDrainedBefore) {
-    raise(1, true);
+    startFleet(1, true);
     drainThenOutage();
     processes[0]->kill();
-    startWithoutAWord(0, old[0]);
+    startUninformed(0, oldNodeLists[0]);
     const double started = reactor.now();
-    pass(GetParam());
+    runFor(GetParam());
     EXPECT_TRUE(processes[0]->ready() || GetParam() < 6000);
-    const double back = reactor.now();
-    end();
-    EXPECT_GT(served(0, back), 10u);
-    EXPECT_LT(back - started, 30000);
+    const double outageEnd = reactor.now();
+    endOutageAndCheck();
+    EXPECT_GT(served(0, outageEnd), 10u);
+    EXPECT_LT(outageEnd - started, 30000);
 }
 INSTANTIATE_TEST_SUITE_P(Milliseconds, OutageAlone, ::testing::Values(1000.0, 4000.0, 12000.0));
 
-// Most of a fleet is killed at once, and restarted with lists that miss the drain: those that stayed up tell
-// them what is still usable, and they serve it while the outage lasts.
+// Most schedulers are killed at once and restarted with node lists that miss the drain. Peers that stayed up
+// tell them which servers are usable, and they serve from these while the outage lasts.
 TEST_F(StartFleet, PeersThatStayedUpTellWhatIsStillUsable) {
-    raise(6, true);
+    startFleet(6, true);
     drainThenOutage();
     for (std::size_t i = 0; i < 4; ++i) processes[i]->kill();
-    for (std::size_t i = 0; i < 4; ++i) start(i, old[i]);
+    for (std::size_t i = 0; i < 4; ++i) start(i, oldNodeLists[i]);
     const double started = reactor.now();
     for (std::size_t i = 0; i < 4; ++i)
         EXPECT_TRUE(runUntil(3000, [&] { return processes[i]->ready(); })) << "n" << i;
-    pass(5000);
+    runFor(5000);
     for (int i = 0; i < 4; ++i) EXPECT_GT(served(i, started), 10u) << "n" << i;
-    end();
+    endOutageAndCheck();
 }
 
-// All are killed at once: nobody knows, so nobody sends before discovery is back.
+// All schedulers are killed at once: no peer knows the current state, so none sends before discovery is back.
 TEST_F(StartFleet, AFleetThatIsKilledWholeSendsNothingBeforeAWord) {
-    raise(4, true);
+    startFleet(4, true);
     drainThenOutage();
     for (const auto& process : processes) process->kill();
-    for (std::size_t i = 0; i < processes.size(); ++i) startWithoutAWord(i, old[i]);
+    for (std::size_t i = 0; i < processes.size(); ++i) startUninformed(i, oldNodeLists[i]);
     const double started = reactor.now();
-    pass(7000);
+    runFor(7000);
     for (int i = 0; i < 4; ++i) {
         EXPECT_TRUE(processes[static_cast<std::size_t>(i)]->ready()) << "n" << i;
         EXPECT_EQ(served(i, started), 0u) << "n" << i;
     }
-    const double back = reactor.now();
-    end();
-    for (int i = 0; i < 4; ++i) EXPECT_GT(served(i, back), 10u) << "n" << i;
+    const double outageEnd = reactor.now();
+    endOutageAndCheck();
+    for (int i = 0; i < 4; ++i) EXPECT_GT(served(i, outageEnd), 10u) << "n" << i;
 }
 
-// Where peers may not be told the same holds without them.
+// If peer messages are disabled, a restarted scheduler sends nothing before discovery is back.
 TEST_F(StartFleet, WithoutPeersASchedulerWaitsForItsOwnAgent) {
-    raise(2, false);
+    startFleet(2, false);
     drainThenOutage();
     processes[0]->kill();
-    startWithoutAWord(0, old[0]);
+    startUninformed(0, oldNodeLists[0]);
     const double started = reactor.now();
-    pass(6500);
+    runFor(6500);
     EXPECT_EQ(served(0, started), 0u);
     EXPECT_GT(served(1, started), 10u);
-    end();
+    endOutageAndCheck();
 }
 
-// The list that a process is started with is empty: peers can't add to it, discovery can.
+// A process is started with an empty node list: peers cannot add entries to it, discovery can.
 TEST_F(StartFleet, AnEmptyListIsFilledByDiscoveryAlone) {
-    raise(3, true);
+    startFleet(3, true);
     drainThenOutage();
     processes[0]->kill();
-    startWithoutAWord(0, R"({"revision":0,"complete":true,"members":[]})");
+    startUninformed(0, R"({"revision":0,"complete":true,"members":[]})");
     const double started = reactor.now();
-    pass(6000);
+    runFor(6000);
     EXPECT_EQ(served(0, started), 0u);
-    const double back = reactor.now();
-    end();
-    EXPECT_GT(served(0, back), 10u);
+    const double outageEnd = reactor.now();
+    endOutageAndCheck();
+    EXPECT_GT(served(0, outageEnd), 10u);
 }
 
 }  // namespace
