--- a/kit/soak/cluster.cpp
+++ b/kit/soak/cluster.cpp
@@ -170,7 +170,7 @@
     }
 }
 
-// A watch told the scheduler of this start of the server.
+// A watch delivered the present start of the server to the scheduler.
 void Cluster::onMemberDelivered(int scheduler, const Member& member) {
     for (const auto& entry : servers)
         if (entry.server->place().id == member.id && entry.upSinceMs == member.upSinceMs)
--- a/kit/soak/events.hpp
+++ b/kit/soak/events.hpp
@@ -50,7 +50,7 @@
     int attempt = 0;                              // number of the attempt, unique over all disk servers
     int status = 0;  // HTTP status, exit status, or health (CellState, SchedulerState)
     double units = 0;
-    double timeoutMs = 0;  // of the request, or as the attempt told its server
+    double timeoutMs = 0;  // of the request, or as stated in the attempt
     int cell = -1;         // that holds the request's data
     bool limited = false;  // of a request: its volume has a limit
     bool read = false;     // of ConnectionEnded: the scheduler had read the whole request
--- a/kit/soak/record_checker.cpp
+++ b/kit/soak/record_checker.cpp
@@ -15,13 +15,14 @@
 
 using Kind = EventKind;
 
-std::string ms(double value) {
+std::string msText(double value) {
     char text[32];
     std::snprintf(text, sizeof text, "%.0f ms", value);
     return text;
 }
 
-// A process of a scheduler, from its start to its end.
+// The times of the start, the readiness, the stop request and the end of one process; infinite: it did not
+// happen.
 struct ProcessLifetime {
     double from = 0, until = std::numeric_limits<double>::infinity();
     double readyAt = std::numeric_limits<double>::infinity();
@@ -41,58 +42,58 @@
         }
     }
     std::vector<RuleViolation> run() {
-        oneAnswer();
-        noDoubleEffect();
-        drains();
-        slowStart();
-        orderPerKey();
-        retryBudget();
-        limits();
-        clientGone();
-        timeoutPassedOn();
-        malformed();
-        starts();
-        service();
-        limitedService();
+        checkOneAnswer();
+        checkNoDoubleEffect();
+        checkDrains();
+        checkSlowStart();
+        checkOrderPerKey();
+        checkRetryBudget();
+        checkLimits();
+        checkClientGone();
+        checkTimeoutPassedOn();
+        checkMalformed();
+        checkStarts();
+        checkService();
+        checkLimitedService();
         for (const auto& event : events_)
             if (event.kind == Kind::Violation) addViolation(Rule::Invariants, event, event.detail);
         return std::move(violations_);
     }
 
   private:
-    void addViolation(Rule rule, const Event& event, const std::string& words) {
-        violations_.push_back({rule, event.at, event.scheduler, event.request, words});
+    void addViolation(Rule rule, const Event& event, const std::string& detail) {
+        violations_.push_back({rule, event.at, event.scheduler, event.request, detail});
     }
     void noteLifetime(const Event& event) {
-        static const std::set<Kind> kOfProcesses = {Kind::ProcessStarted, Kind::ProcessReady,
-                                                    Kind::StopRequested, Kind::Killed, Kind::Exited};
-        if (!kOfProcesses.count(event.kind)) return;
-        auto& life = lifetimes_[{event.scheduler, event.process}];
-        if (event.kind == Kind::ProcessStarted) life.from = event.at;
-        if (event.kind == Kind::ProcessReady) life.readyAt = std::min(life.readyAt, event.at);
-        if (event.kind == Kind::StopRequested) life.stopAt = event.at;
+        static const std::set<Kind> kProcessEvents = {Kind::ProcessStarted, Kind::ProcessReady,
+                                                      Kind::StopRequested, Kind::Killed, Kind::Exited};
+        if (!kProcessEvents.count(event.kind)) return;
+        auto& lifetime = lifetimes_[{event.scheduler, event.process}];
+        if (event.kind == Kind::ProcessStarted) lifetime.from = event.at;
+        if (event.kind == Kind::ProcessReady) lifetime.readyAt = std::min(lifetime.readyAt, event.at);
+        if (event.kind == Kind::StopRequested) lifetime.stopAt = event.at;
         if (event.kind == Kind::Killed || event.kind == Kind::Exited) {
-            life.until = event.at;
-            life.killed = event.kind == Kind::Killed;
+            lifetime.until = event.at;
+            lifetime.killed = event.kind == Kind::Killed;
         }
     }
-    // Whether the process to which the request was sent was killed outright before its answer was due. A kill
-    // that ends a planned stop excuses nothing: what it finds unanswered is lost.
+    // Whether the process that the request was sent to was killed, without a stop request before, by the time
+    // the answer was due. A kill that ends a planned stop does not count: requests still open are lost then.
     bool killedBefore(const Event& sent, double due) const {
         const auto found = lifetimes_.find({sent.scheduler, sent.process});
         if (found == lifetimes_.end()) return false;
-        const auto& life = found->second;
-        return life.killed && life.until <= due && life.stopAt > life.until;
+        const auto& lifetime = found->second;
+        return lifetime.killed && lifetime.until <= due && lifetime.stopAt > lifetime.until;
     }
     const ClassSemantics* semanticsOf(const std::string& name) const {
-        for (const auto& one : requirements_.classes)
-            if (one.name == name) return &one;
+        for (const auto& semantics : requirements_.classes)
+            if (semantics.name == name) return &semantics;
         return nullptr;
     }
 
-    // Rule 1 and "every request taken has one answer": one end at its client, in time, made by a server where
-    // it is 200; no request that was read is dropped; nothing begins for it after its end.
-    void oneAnswer() {
+    // Each request that was read gets one answer, in time; a 200 answer was produced by a server; no attempt
+    // begins after the answer.
+    void checkOneAnswer() {
         std::map<std::string, const Event*> sent;
         std::map<std::string, double> answeredAt;
         std::set<std::string> excused;
@@ -102,26 +103,27 @@
                 excused.insert(event.request);
             if (event.kind == Kind::Answered && !event.request.empty()) {
                 if (!answeredAt.emplace(event.request, event.at).second)
-                    addViolation(Rule::OneAnswer, event, "a second answer");
+                    addViolation(Rule::OneAnswer, event, "second answer");
                 const auto found = sent.find(event.request);
-                if (found == sent.end()) addViolation(Rule::OneAnswer, event, "an answer without a request");
+                if (found == sent.end()) addViolation(Rule::OneAnswer, event, "answer without a request");
                 else if (event.at > dueAt(*found->second))
                     addViolation(Rule::OneAnswer, event,
-                                 "answered " + ms(event.at - found->second->at) + " after the request");
+                                 "answered " + msText(event.at - found->second->at) + " after the request");
                 if (event.status == 200 && !event.genuine)
-                    addViolation(Rule::OneAnswer, event, "served with what no server made for it");
+                    addViolation(Rule::OneAnswer, event,
+                                 "200 answer that no server produced for this request");
             }
             if (event.kind == Kind::ConnectionEnded && !event.request.empty()) {
                 if (event.read && !excused.count(event.request) && !answeredAt.count(event.request) &&
                     !killedBefore(event, event.at + requirements_.toleranceMs))
-                    addViolation(Rule::OneAnswer, event, "read, and its connection ended without an answer");
+                    addViolation(Rule::OneAnswer, event, "read, but the connection ended without an answer");
                 excused.insert(event.request);
             }
             if (event.kind == Kind::AttemptBegan) {
                 const auto found = answeredAt.find(event.request);
                 if (found != answeredAt.end() && event.at > found->second + requirements_.toleranceMs)
                     addViolation(Rule::OneAnswer, event,
-                                 "sent " + ms(event.at - found->second) + " after its end");
+                                 "attempt began " + msText(event.at - found->second) + " after the answer");
             }
         }
         for (const auto& [request, event] : sent)
@@ -133,60 +135,64 @@
         return sent.at + sent.timeoutMs + requirements_.answerGraceMs + requirements_.toleranceMs;
     }
 
-    // Rule 2. What a killed process had out counts like the rest: a client's retry has another id.
-    void noDoubleEffect() {
-        struct Run {
+    // Attempts of killed processes count like all others: a client that retries uses a new request id.
+    void checkNoDoubleEffect() {
+        struct Execution {
             double at = 0;
             std::string zone;
         };
         std::map<std::string, int> executed;
-        std::map<std::string, Run> mayHaveRun;
+        std::map<std::string, Execution> possiblyExecuted;
         std::set<int> notExecuted;
         for (const auto& event : events_)
             if (event.kind == Kind::NotExecuted) notExecuted.insert(event.attempt);
         for (const auto& event : events_) {
-            const auto* kind = semanticsOf(event.requestClass);
-            if (event.kind == Kind::AttemptWhole && kind && (kind->once || kind->byKey)) {
-                const auto before = mayHaveRun.find(event.request);
-                if (before != mayHaveRun.end())
-                    checkRepeat(event, *kind, before->second.at, before->second.zone);
+            const auto* semantics = semanticsOf(event.requestClass);
+            if (event.kind == Kind::AttemptWhole && semantics && (semantics->once || semantics->byKey)) {
+                const auto before = possiblyExecuted.find(event.request);
+                if (before != possiblyExecuted.end())
+                    checkRepeat(event, *semantics, before->second.at, before->second.zone);
                 else if (!notExecuted.count(event.attempt))
-                    mayHaveRun[event.request] = {event.at, event.zone};
+                    possiblyExecuted[event.request] = {event.at, event.zone};
             }
-            if (event.kind == Kind::Executed && kind && kind->once && ++executed[event.request] > 1)
+            if (event.kind == Kind::Executed && semantics && semantics->once && ++executed[event.request] > 1)
                 addViolation(Rule::NoDoubleEffect, event, "executed twice");
-            if (event.kind == Kind::Answered && event.status == 503 && kind && kind->once &&
-                mayHaveRun.count(event.request))
-                addViolation(Rule::NoDoubleEffect, event, "refused though it may have run");
+            if (event.kind == Kind::Answered && event.status == 503 && semantics && semantics->once &&
+                possiblyExecuted.count(event.request))
+                addViolation(Rule::NoDoubleEffect, event, "refused although it may have run");
         }
     }
-    void checkRepeat(const Event& event, const ClassSemantics& kind, double ranAt, const std::string& zone) {
-        if (kind.once) return addViolation(Rule::NoDoubleEffect, event, "sent again though it may have run");
+    void checkRepeat(const Event& event, const ClassSemantics& semantics, double ranAt,
+                     const std::string& zone) {
+        if (semantics.once)
+            return addViolation(Rule::NoDoubleEffect, event, "sent again although it may have run");
         if (event.zone != zone) return addViolation(Rule::NoDoubleEffect, event, "repeated in another zone");
-        if (event.at > ranAt + kind.keyRetentionMs + requirements_.toleranceMs)
+        if (event.at > ranAt + semantics.keyRetentionMs + requirements_.toleranceMs)
             addViolation(Rule::NoDoubleEffect, event,
-                         "repeated " + ms(event.at - ranAt) + " after it may have run");
+                         "repeated " + msText(event.at - ranAt) + " after it may have run");
     }
 
-    void drains() {
-        std::map<std::pair<int, std::string>, double> told;
+    void checkDrains() {
+        std::map<std::pair<int, std::string>, double> notified;
         for (const auto& event : events_) {
             if (event.kind == Kind::ServerStarted)
-                for (auto it = told.begin(); it != told.end();)
-                    it = it->first.second == event.server ? told.erase(it) : std::next(it);
+                for (auto it = notified.begin(); it != notified.end();)
+                    it = it->first.second == event.server ? notified.erase(it) : std::next(it);
             if (event.kind == Kind::Notified)
-                told.emplace(std::make_pair(event.scheduler, event.server), event.at);
+                notified.emplace(std::make_pair(event.scheduler, event.server), event.at);
             if (event.kind != Kind::AttemptBegan) continue;
-            const auto found = told.find({event.scheduler, event.server});
-            if (found != told.end() &&
+            const auto found = notified.find({event.scheduler, event.server});
+            if (found != notified.end() &&
                 event.at > found->second + requirements_.drainGraceMs + requirements_.toleranceMs)
                 addViolation(Rule::Drains, event,
-                             "at " + event.server + " " + ms(event.at - found->second) + " after the notice");
+                             "attempt at " + event.server + " " + msText(event.at - found->second) +
+                                 " after the drain notice");
         }
     }
 
-    // Calls of mean work in any fall time: N + 2 sqrt(N) + 2, under 30: N + 3 sqrt(N) + 3.
-    void slowStart() {
+    // Where the settings allow N requests of mean size in an overload span, a cold server may get
+    // N + 2 sqrt(N) + 2 of them, or N + 3 sqrt(N) + 3 if N is below 30.
+    void checkSlowStart() {
         if (requirements_.coldMs <= 0) return;
         std::map<std::string, std::deque<std::pair<double, double>>> windows;
         for (const auto& event : events_) {
@@ -196,62 +202,64 @@
             window.emplace_back(event.at, event.units);
             while (window.front().first < event.at - requirements_.overloadSpanMs) window.pop_front();
             double units = 0;
-            for (const auto& [at, one] : window) units += one;
+            for (const auto& [at, added] : window) units += added;
             const double share =
                 requirements_.coldShare +
                 (1 - requirements_.coldShare) * std::min(1.0, event.ageMs / requirements_.coldMs);
             const double allowed = std::max(requirements_.coldUnits, requirements_.overloadFactor * share *
                                                                          requirements_.serverUnitsPerS *
                                                                          requirements_.overloadSpanMs / 1000);
-            const double n = allowed / requirements_.meanUnits, root = std::sqrt(n);
-            const double most = n < 30 ? n + 3 * root + 3 : n + 2 * root + 2;
-            if (units / requirements_.meanUnits > most)
+            const double requests = allowed / requirements_.meanUnits, root = std::sqrt(requests);
+            const double maxRequests = requests < 30 ? requests + 3 * root + 3 : requests + 2 * root + 2;
+            if (units / requirements_.meanUnits > maxRequests)
                 addViolation(Rule::SlowStart, event,
                              std::to_string(static_cast<int>(units)) + " units at " + event.server + ", " +
-                                 ms(event.ageMs) + " old, " +
-                                 std::to_string(static_cast<int>(most * requirements_.meanUnits)) +
+                                 msText(event.ageMs) + " after its start, " +
+                                 std::to_string(static_cast<int>(maxRequests * requirements_.meanUnits)) +
                                  " allowed");
         }
     }
 
-    void orderPerKey() {
-        struct Turn {
+    void checkOrderPerKey() {
+        struct KeyState {
             std::map<int, std::string> open;  // attempt, request
-            double restUntil = 0;
-            std::string restFor;
+            double pausedUntil = 0;
+            std::string pausedAfter;
         };
-        std::map<std::tuple<int, int, std::string>, Turn> turns;
+        std::map<std::tuple<int, int, std::string>, KeyState> keyStates;
         std::set<int> ended;
         for (const auto& event : events_) {
-            const auto* kind = semanticsOf(event.requestClass);
-            if (!kind || !kind->inOrder) continue;
-            auto& turn = turns[{event.scheduler, event.process, event.key}];
+            const auto* semantics = semanticsOf(event.requestClass);
+            if (!semantics || !semantics->inOrder) continue;
+            auto& keyState = keyStates[{event.scheduler, event.process, event.key}];
             if (event.kind == Kind::AttemptWhole) {
-                for (const auto& [attempt, request] : turn.open)
+                for (const auto& [attempt, request] : keyState.open)
                     if (request != event.request)
-                        addViolation(Rule::OrderPerKey, event, "while " + request + " of its key is out");
-                if (event.at + requirements_.toleranceMs < turn.restUntil)
-                    addViolation(Rule::OrderPerKey, event, "while its key rests for " + turn.restFor);
-                turn.open[event.attempt] = event.request;
+                        addViolation(Rule::OrderPerKey, event,
+                                     "sent while " + request + " of the same key is open");
+                if (event.at + requirements_.toleranceMs < keyState.pausedUntil)
+                    addViolation(Rule::OrderPerKey, event,
+                                 "sent in the pause of its key after " + keyState.pausedAfter);
+                keyState.open[event.attempt] = event.request;
             }
             if (event.kind == Kind::AttemptEnded) {
-                if (turn.open.erase(event.attempt) && event.detail != "answered") {
-                    turn.restUntil = event.at + requirements_.settleAfterDoubtMs;
-                    turn.restFor = event.request;
+                if (keyState.open.erase(event.attempt) && event.detail != "answered") {
+                    keyState.pausedUntil = event.at + requirements_.settleAfterDoubtMs;
+                    keyState.pausedAfter = event.request;
                 }
             }
         }
     }
 
-    void retryBudget() {
+    void checkRetryBudget() {
         if (requirements_.retryBudgetSpanMs <= 0) return;
-        std::map<std::pair<int, int>, std::deque<double>> taken, extra;
+        std::map<std::pair<int, int>, std::deque<double>> accepted, repeated;
         std::set<std::string> seen;
         for (const auto& event : events_) {
             const std::pair<int, int> process{event.scheduler, event.process};
-            if (event.kind == Kind::RequestSent) taken[process].push_back(event.at);
+            if (event.kind == Kind::RequestSent) accepted[process].push_back(event.at);
             if (event.kind != Kind::AttemptWhole || seen.insert(event.request).second) continue;
-            auto &repeats = extra[process], &requests = taken[process];
+            auto &repeats = repeated[process], &requests = accepted[process];
             repeats.push_back(event.at);
             const double from = event.at - requirements_.retryBudgetSpanMs;
             while (!repeats.empty() && repeats.front() <= from) repeats.pop_front();
@@ -261,8 +269,8 @@
                 requirements_.retryBudgetFloor +
                     requirements_.retryBudgetShare * static_cast<double>(requests.size()))
                 addViolation(Rule::RetryBudget, event,
-                             std::to_string(repeats.size()) + " repeats, " + std::to_string(requests.size()) +
-                                 " requests in the span");
+                             std::to_string(repeats.size()) + " repeated attempts, " +
+                                 std::to_string(requests.size()) + " requests in the span");
         }
     }
 
@@ -272,30 +280,32 @@
                    ? found->second
                    : VolumeLimit{requirements_.limit, requirements_.burst, requirements_.slack};
     }
-    // First sends of all schedulers, and of all lives of each, against each limited volume's store.
-    void limits() {
-        struct Store {
+    // Follows the token bucket of each limited volume. The first attempt of each request draws from it,
+    // whichever scheduler and process sent it.
+    void checkLimits() {
+        struct Bucket {
             double level = 0, filledAt = 0;
         };
-        std::map<std::string, Store> stores;
-        std::set<std::string> drawn;
+        std::map<std::string, Bucket> buckets;
+        std::set<std::string> counted;
         for (const auto& event : events_) {
             if (event.kind != Kind::AttemptWhole || event.volume.empty()) continue;
-            if (!drawn.insert(event.request).second) continue;
+            if (!counted.insert(event.request).second) continue;
             const auto limit = limitOf(event.volume);
             if (limit.rate <= 0) continue;
-            auto& store = stores.emplace(event.volume, Store{limit.burst, event.at}).first->second;
-            const double filled = store.level + limit.rate * (event.at - store.filledAt) / 1000;
-            store.level = std::min(limit.burst, filled) - event.units;
-            store.filledAt = event.at;
+            auto& bucket = buckets.emplace(event.volume, Bucket{limit.burst, event.at}).first->second;
+            const double filled = bucket.level + limit.rate * (event.at - bucket.filledAt) / 1000;
+            bucket.level = std::min(limit.burst, filled) - event.units;
+            bucket.filledAt = event.at;
             const double slack = limit.slack + limit.rate * requirements_.timeoutSlackMs / 1000;
-            if (store.level < -slack - 1e-9)
-                addViolation(Rule::Limits, event,
-                             "volume " + event.volume + " at " + std::to_string(store.level) + " units");
+            if (bucket.level < -slack - 1e-9)
+                addViolation(
+                    Rule::Limits, event,
+                    "bucket of volume " + event.volume + " at " + std::to_string(bucket.level) + " units");
         }
     }
 
-    void clientGone() {
+    void checkClientGone() {
         std::map<std::string, double> left;
         for (const auto& event : events_) {
             if (event.kind == Kind::ClientLeft) left.emplace(event.request, event.at);
@@ -304,71 +314,75 @@
             if (found != left.end() &&
                 event.at > found->second + requirements_.clientGoneGraceMs + requirements_.toleranceMs)
                 addViolation(Rule::ClientGone, event,
-                             "begun " + ms(event.at - found->second) + " after its client left");
+                             "attempt began " + msText(event.at - found->second) + " after the client left");
         }
     }
 
-    void timeoutPassedOn() {
-        std::map<std::string, double> overAt;
+    void checkTimeoutPassedOn() {
+        std::map<std::string, double> expiresAt;
         for (const auto& event : events_) {
-            if (event.kind == Kind::RequestSent) overAt[event.request] = event.at + event.timeoutMs;
+            if (event.kind == Kind::RequestSent) expiresAt[event.request] = event.at + event.timeoutMs;
             if (event.kind != Kind::AttemptWhole) continue;
-            const auto found = overAt.find(event.request);
-            if (found == overAt.end()) continue;
+            const auto found = expiresAt.find(event.request);
+            if (found == expiresAt.end()) continue;
             const double left = found->second - event.at;
-            // An attempt never tells less than 1 ms.
+            // The shortest timeout that an attempt can pass on is 1 ms.
             if (event.timeoutMs >
                 std::max(left, 1.0) + requirements_.timeoutSlackMs + requirements_.toleranceMs)
-                addViolation(Rule::TimeoutPassedOn, event,
-                             "told " + ms(event.timeoutMs) + " with " + ms(left) + " left");
+                addViolation(
+                    Rule::TimeoutPassedOn, event,
+                    "attempt timeout of " + msText(event.timeoutMs) + " with " + msText(left) + " left");
         }
     }
 
-    void malformed() {
+    void checkMalformed() {
         std::map<int, const Event*> open;
         for (const auto& event : events_) {
             if (event.kind == Kind::Malformed) open[event.connection] = &event;
             const auto found = open.find(event.connection);
             if (event.kind != Kind::MalformedEnded || found == open.end()) continue;
             if (event.at > found->second->at + requirements_.malformedTimeoutMs + requirements_.toleranceMs)
-                addViolation(Rule::Malformed, event, "told off after " + ms(event.at - found->second->at));
+                addViolation(Rule::Malformed, event,
+                             "error or close only after " + msText(event.at - found->second->at));
             open.erase(found);
         }
         for (const auto& [connection, event] : open)
             if (event->at + requirements_.malformedTimeoutMs + requirements_.toleranceMs < end_ &&
                 !killedBefore(*event, event->at + requirements_.malformedTimeoutMs))
-                addViolation(Rule::Malformed, *event, "neither an error nor a close");
+                addViolation(Rule::Malformed, *event, "no error and no close");
     }
 
-    void starts() {
-        for (const auto& [who, life] : lifetimes_) {
-            if (who.first < 0) continue;
+    void checkStarts() {
+        for (const auto& [processId, lifetime] : lifetimes_) {
+            if (processId.first < 0) continue;
             Event event;
-            event.scheduler = who.first;
-            event.at = life.from;
-            const double due = life.from + requirements_.readyTimeoutMs;
-            if (life.readyAt > due && life.until > due && life.stopAt > due && end_ > due)
-                addViolation(Rule::Starts, event, "not ready after " + ms(requirements_.readyTimeoutMs));
+            event.scheduler = processId.first;
+            event.at = lifetime.from;
+            const double due = lifetime.from + requirements_.readyTimeoutMs;
+            if (lifetime.readyAt > due && lifetime.until > due && lifetime.stopAt > due && end_ > due)
+                addViolation(Rule::Starts, event, "not ready after " + msText(requirements_.readyTimeoutMs));
         }
         for (const auto& event : events_) {
             if (event.kind != Kind::Exited) continue;
-            const auto& life = lifetimes_.at({event.scheduler, event.process});
-            // One that is told to stop before it can take the signal ends by it, and has taken nothing.
-            const bool beforeItBegan = event.status == kEndedBySigterm && life.readyAt > event.at;
-            if (life.stopAt > event.at || (event.status != 0 && !beforeItBegan))
-                addViolation(Rule::Starts, event, "ended with status " + std::to_string(event.status));
+            const auto& lifetime = lifetimes_.at({event.scheduler, event.process});
+            // A process that gets SIGTERM before it has installed its handler is ended by the signal; it has
+            // accepted no request yet.
+            const bool stoppedBeforeReady = event.status == kExitedBySigterm && lifetime.readyAt > event.at;
+            if (lifetime.stopAt > event.at || (event.status != 0 && !stoppedBeforeReady))
+                addViolation(Rule::Starts, event, "exited with status " + std::to_string(event.status));
         }
     }
 
-    // Spans in which something was in trouble, by whom.
+    // The spans of time in which a cell's servers or a scheduler's environment were impaired, by cell or
+    // scheduler.
     using ImpairedSpans = std::map<std::string, std::vector<std::pair<double, double>>>;
-    static bool within(const ImpairedSpans& troubles, const std::string& who, double from, double until) {
-        const auto found = troubles.find(who);
-        if (found == troubles.end()) return false;
+    static bool within(const ImpairedSpans& impaired, const std::string& name, double from, double until) {
+        const auto found = impaired.find(name);
+        if (found == impaired.end()) return false;
         return std::any_of(found->second.begin(), found->second.end(),
                            [&](const auto& span) { return span.first <= until && span.second >= from; });
     }
-    ImpairedSpans troublesOf(Kind kind) const {
+    ImpairedSpans impairedSpansOf(Kind kind) const {
         ImpairedSpans out;
         for (const auto& event : events_) {
             if (event.kind != kind) continue;
@@ -381,20 +395,21 @@
     }
     bool couldBeServed(const Event& sent, const ImpairedSpans& cells, const ImpairedSpans& schedulers) const {
         const double due = sent.at + sent.timeoutMs;
-        const auto life = lifetimes_.find({sent.scheduler, sent.process});
-        if (life == lifetimes_.end() || sent.cell < 0 || sent.timeoutMs < requirements_.minTimeoutMs)
+        const auto found = lifetimes_.find({sent.scheduler, sent.process});
+        if (found == lifetimes_.end() || sent.cell < 0 || sent.timeoutMs < requirements_.minTimeoutMs)
             return false;
-        const auto& process = life->second;
+        const auto& process = found->second;
         return process.readyAt <= sent.at && process.until > due && process.stopAt > due && due <= end_ &&
                !within(cells, std::to_string(sent.cell), sent.at, due) &&
                !within(schedulers, std::to_string(sent.scheduler), sent.at, due);
     }
-    // A scheduler that refused all would keep every other rule.
-    void service() {
+    // A scheduler that refused every request would keep all other rules.
+    void checkService() {
         struct Count {
-            std::size_t asked = 0, served = 0;
+            std::size_t requested = 0, served = 0;
         };
-        const auto cells = troublesOf(Kind::CellState), schedulers = troublesOf(Kind::SchedulerState);
+        const auto cells = impairedSpansOf(Kind::CellState),
+                   schedulers = impairedSpansOf(Kind::SchedulerState);
         std::set<std::string> served, left;
         for (const auto& event : events_) {
             if (event.kind == Kind::Answered && event.status == 200) served.insert(event.request);
@@ -405,31 +420,33 @@
             if (event.kind != Kind::RequestSent || left.count(event.request) || event.limited) continue;
             if (!couldBeServed(event, cells, schedulers)) continue;
             auto& count = classes[event.requestClass];
-            ++count.asked;
+            ++count.requested;
             count.served += served.count(event.request);
         }
         for (const auto& [name, count] : classes) {
-            const double least = requirements_.minServedFraction * static_cast<double>(count.asked);
-            if (count.asked < requirements_.minRequests || static_cast<double>(count.served) >= least)
+            const double least = requirements_.minServedFraction * static_cast<double>(count.requested);
+            if (count.requested < requirements_.minRequests || static_cast<double>(count.served) >= least)
                 continue;
             Event event;
             event.at = end_;
             event.requestClass = name;
             addViolation(Rule::Service, event,
                          "class " + name + ": " + std::to_string(count.served) + " served of " +
-                             std::to_string(count.asked) + " that could be");
+                             std::to_string(count.requested) + " that could be served");
         }
     }
 
-    // What a limit allows is served too: of each volume that is asked for without pause, against what was
-    // asked and what its limit gives to the schedulers that were well, in the time in which they were asked.
-    void limitedService() {
+    // A volume with constant load is served at least the minimum fraction of what was requested, or of what
+    // its limit allowed to the healthy schedulers in the time slots in which they got requests if that is
+    // less.
+    void checkLimitedService() {
         struct Count {
-            double asked = 0, served = 0;
-            std::map<int, std::set<long>> slots;  // in which a scheduler was asked
+            double requested = 0, served = 0;
+            std::map<int, std::set<long>> slots;  // by scheduler: the time slots with a request
         };
         constexpr double kSlotMs = 200;
-        const auto cells = troublesOf(Kind::CellState), schedulers = troublesOf(Kind::SchedulerState);
+        const auto cells = impairedSpansOf(Kind::CellState),
+                   schedulers = impairedSpansOf(Kind::SchedulerState);
         std::set<std::string> served;
         for (const auto& event : events_)
             if (event.kind == Kind::Answered && event.status == 200) served.insert(event.request);
@@ -438,10 +455,10 @@
             if (event.kind != Kind::RequestSent || requirements_.volumes.count(event.volume) == 0) continue;
             if (!couldBeServed(event, cells, schedulers)) continue;
             auto& count = volumes[event.volume];
-            count.asked += event.units;
+            count.requested += event.units;
             count.slots[event.scheduler].insert(static_cast<long>(event.at / kSlotMs));
         }
-        // What was served of the volume meanwhile, also for cells in trouble, is drawn from the same limit.
+        // All that was served in these slots counts, also from impaired cells: it draws from the same limit.
         for (const auto& event : events_) {
             if (event.kind != Kind::RequestSent || served.count(event.request) == 0) continue;
             const auto found = volumes.find(event.volume);
@@ -455,7 +472,7 @@
             double seconds = 0;
             for (const auto& [scheduler, slots] : count.slots)
                 seconds += static_cast<double>(slots.size()) * kSlotMs / 1000;
-            const double due = std::min(count.asked, limit.rate / limit.hosts * seconds);
+            const double due = std::min(count.requested, limit.rate / limit.hosts * seconds);
             if (due < requirements_.minUnits || count.served >= requirements_.minServedFraction * due)
                 continue;
             Event event;
@@ -466,7 +483,7 @@
         }
     }
 
-    static constexpr int kEndedBySigterm = 128 + 15;
+    static constexpr int kExitedBySigterm = 128 + 15;
     std::vector<Event> events_;
     const Requirements& requirements_;
     std::map<std::pair<int, int>, ProcessLifetime> lifetimes_;
--- a/kit/soak/setting.hpp
+++ b/kit/soak/setting.hpp
@@ -55,7 +55,7 @@
     double coldMs = 4000, coldShare = 0.05, coldUnits = 9, overloadFactor = 1.5, overloadSpanMs = 1000;
     double meanUnits = 2, drainGraceMs = 2000, settleAfterDoubtMs = 120;
     double retryBudgetFloor = 4, retryBudgetShare = 0.2, retryBudgetSpanMs = 3000;
-    double limit = 30, limitBurst = 45, limitSlack = 4;  // of the plan "limited", of volumes f1 and f2
+    double limit = 30, limitBurst = 45, limitSlack = 4;  // of the limited plan, of volumes f1 and f2
     int maxUnits = 4;                                    // of one request
     std::vector<BusyVolume> busyVolumes;
     LimitFaults limitFaults;
--- a/kit/soak/soak.hpp
+++ b/kit/soak/soak.hpp
@@ -24,7 +24,7 @@
 
 // Throws std::runtime_error.
 Result run(const Options& options);
-// The result in words.
+// The result as text for a person.
 std::string report(const Result& result, const Options& options);
 // The record, one event per line, sorted by time.
 std::string recordText(const Result& result);
