--- a/kit/soak/port_source.cpp
+++ b/kit/soak/port_source.cpp
@@ -13,8 +13,8 @@
 namespace spokewheel::soak {
 namespace {
 
-// Below the range from which the system takes ports of outgoing connections.
-constexpr int kFirstPort = 10000, kBlockPorts = 64, kBlocks = 340;
+// Below the ephemeral ports, from which the kernel takes the local ports of outgoing connections.
+constexpr int kFirstPort = 10000, kPortsPerBlock = 64, kBlocks = 340;
 
 bool isFree(int port) {
     sockaddr_in at{};
@@ -34,10 +34,10 @@
 
 PortSource::PortSource(std::uint64_t seed)
     : block_(static_cast<int>((seed * 7919 + static_cast<unsigned>(getpid()) * 131) % kBlocks)),
-      used_(kBlockPorts) {}
+      portsUsed_(kPortsPerBlock) {}
 
 PortSource::~PortSource() {
-    for (const int lock : locks_) close(lock);
+    for (const int lock : lockSockets_) close(lock);
 }
 
 bool PortSource::reserveBlock(int block) {
@@ -52,21 +52,22 @@
         close(fd);
         return false;
     }
-    locks_.push_back(fd);
+    lockSockets_.push_back(fd);
     return true;
 }
 
 int PortSource::take() {
     for (;;) {
-        while (used_ < kBlockPorts) {
-            const int port = kFirstPort + block_ * kBlockPorts + used_++;
+        while (portsUsed_ < kPortsPerBlock) {
+            const int port = kFirstPort + block_ * kPortsPerBlock + portsUsed_++;
             if (isFree(port)) return port;
         }
         do {
-            if (++tried_ > kBlocks) throw std::runtime_error("no free port");
+            if (++blocksTried_ > kBlocks)
+                throw std::runtime_error("no free port: all port blocks are reserved or in use");
             block_ = (block_ + 1) % kBlocks;
         } while (!reserveBlock(block_));
-        used_ = 0;
+        portsUsed_ = 0;
     }
 }
 
--- a/kit/soak/reactor.cpp
+++ b/kit/soak/reactor.cpp
@@ -17,8 +17,8 @@
 namespace spokewheel::soak {
 namespace {
 
-constexpr int kMostEvents = 256;
-constexpr int kBindTries = 200, kBindAgainUs = 1000;
+constexpr int kMaxEvents = 256;
+constexpr int kBindAttempts = 200, kBindRetryUs = 1000;
 constexpr std::size_t kReadBytes = 256 * 1024;
 
 sockaddr_in loopback(int port) {
@@ -28,7 +28,7 @@
     at.sin_port = htons(static_cast<std::uint16_t>(port));
     return at;
 }
-int streamSocket() { return socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); }
+int makeTcpSocket() { return socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); }
 void noDelay(int fd) {
     const int on = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -49,7 +49,7 @@
                                                                                       : 0;
 }
 
-void TcpConnection::watch() {
+void TcpConnection::updateEvents() {
     if (fd_ < 0) return;
     epoll_event event{};
     event.data.fd = fd_;
@@ -68,15 +68,15 @@
 void TcpConnection::flush() {
     while (!connecting_ && !out_.empty() && fd_ >= 0) {
         const ssize_t n = ::send(fd_, out_.data(), out_.size(), MSG_NOSIGNAL);
-        if (n < 0) break;  // a break is told by reading
+        if (n < 0) break;  // a broken connection is reported by the next read
         out_.erase(0, static_cast<std::size_t>(n));
     }
-    if (finish_ && out_.empty() && fd_ >= 0) ::shutdown(fd_, SHUT_WR);
-    watch();
+    if (shutdownPending_ && out_.empty() && fd_ >= 0) ::shutdown(fd_, SHUT_WR);
+    updateEvents();
 }
 
 void TcpConnection::shutdownWrite() {
-    finish_ = true;
+    shutdownPending_ = true;
     flush();
 }
 
@@ -87,15 +87,15 @@
         event.data.fd = fd_;
         epoll_ctl(reactor_.epoll_, EPOLL_CTL_ADD, fd_, &event);
     }
-    watch();
+    updateEvents();
 }
 
 void TcpConnection::close() {
     if (fd_ < 0) return;
-    const auto found = reactor_.links_.find(fd_);
-    if (found != reactor_.links_.end()) {
+    const auto found = reactor_.connections_.find(fd_);
+    if (found != reactor_.connections_.end()) {
         reactor_.closed_.push_back(found->second);
-        reactor_.links_.erase(found);
+        reactor_.connections_.erase(found);
     }
     ::close(fd_);
     fd_ = -1;
@@ -107,19 +107,20 @@
     close();
 }
 
-// The other side ended. The own side stays open until close(), so that a client can go on resting.
-void TcpConnection::end(End how) {
+// The peer ended the connection. After an orderly end this side stays open until close(), so that a client
+// can keep an idle connection half-open.
+void TcpConnection::handleEnd(End how) {
     if (ended_) return;
     ended_ = true;
-    watch();
-    const auto keep = shared_from_this();
+    updateEvents();
+    const auto keepAlive = shared_from_this();
     if (how == End::Reset) close();
     if (onEnd) onEnd(how);
 }
 
-void TcpConnection::ready(std::uint32_t events) {
-    const auto keep = shared_from_this();
-    if (ended_) {  // nothing more can come: without this a closed connection would wake each turn
+void TcpConnection::handleEvents(std::uint32_t events) {
+    const auto keepAlive = shared_from_this();
+    if (ended_) {  // no more events are expected, and epoll would report the hang-up on each iteration
         epoll_ctl(reactor_.epoll_, EPOLL_CTL_DEL, fd_, nullptr);
         return;
     }
@@ -134,7 +135,7 @@
         int error = 0;
         socklen_t size = sizeof error;
         getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &size);
-        if (error != 0) return end(End::Reset);
+        if (error != 0) return handleEnd(End::Reset);
         connecting_ = false;
         flush();
         if (onConnected) onConnected();
@@ -146,16 +147,16 @@
     const ssize_t n = ::recv(fd_, buffer, sizeof buffer, 0);
     if (n > 0) {
         if (onData) onData({buffer, static_cast<std::size_t>(n)});
-    } else if (n == 0) end(End::Orderly);
-    else if (errno != EAGAIN && errno != EINTR) end(End::Reset);
+    } else if (n == 0) handleEnd(End::Orderly);
+    else if (errno != EAGAIN && errno != EINTR) handleEnd(End::Reset);
 }
 
 Reactor::Reactor() : epoll_(epoll_create1(EPOLL_CLOEXEC)) {
     if (epoll_ < 0) throw std::runtime_error("epoll_create1 failed");
 }
 Reactor::~Reactor() {
-    for (auto& [port, door] : doors_) ::close(door.fd);
-    links_.clear();
+    for (auto& [port, listener] : listeners_) ::close(listener.fd);
+    connections_.clear();
     closed_.clear();
     ::close(epoll_);
 }
@@ -167,40 +168,40 @@
 }
 
 TcpConnectionPtr Reactor::dial(int port) {
-    const int fd = streamSocket();
-    if (fd < 0) throw std::runtime_error("no socket for the harness");
+    const int fd = makeTcpSocket();
+    if (fd < 0) throw std::runtime_error("socket() failed");
     noDelay(fd);
     const auto at = loopback(port);
     connect(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at);
-    TcpConnectionPtr link(new TcpConnection(*this, fd, true));
-    links_[fd] = link;
+    TcpConnectionPtr connection(new TcpConnection(*this, fd, true));
+    connections_[fd] = connection;
     epoll_event event{};
     event.data.fd = fd;
     event.events = EPOLLOUT;
     epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event);
-    return link;
+    return connection;
 }
 
-int Reactor::listen(int port, Accepted accepted) {
-    const int fd = streamSocket();
+int Reactor::listen(int port, AcceptHandler onAccepted) {
+    const int fd = makeTcpSocket();
     const int on = 1;
     setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
     auto at = loopback(port);
     socklen_t size = sizeof at;
-    // A child that was forked a moment ago holds a copy of the door that was here before, until its exec.
+    // A child that was just forked holds a copy of a former listener on this port until it calls exec.
     int failed = -1;
-    for (int tries = 0; tries < kBindTries && failed != 0; ++tries) {
-        if (tries > 0) usleep(kBindAgainUs);
+    for (int attempt = 0; attempt < kBindAttempts && failed != 0; ++attempt) {
+        if (attempt > 0) usleep(kBindRetryUs);
         failed = bind(fd, reinterpret_cast<sockaddr*>(&at), size);
         if (failed == 0) failed = ::listen(fd, 256);
     }
     if (failed != 0 || getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size) != 0) {
         ::close(fd);
-        throw std::runtime_error("the harness can't listen on port " + std::to_string(port));
+        throw std::runtime_error("can't listen on port " + std::to_string(port));
     }
     const int bound = ntohs(at.sin_port);
-    doors_[bound] = {fd, std::move(accepted)};
-    portOfDoor_[fd] = bound;
+    listeners_[bound] = {fd, std::move(onAccepted)};
+    listenerPorts_[fd] = bound;
     epoll_event event{};
     event.data.fd = fd;
     event.events = EPOLLIN;
@@ -209,86 +210,88 @@
 }
 
 void Reactor::stopListening(int port) {
-    const auto found = doors_.find(port);
-    if (found == doors_.end()) return;
-    portOfDoor_.erase(found->second.fd);
+    const auto found = listeners_.find(port);
+    if (found == listeners_.end()) return;
+    listenerPorts_.erase(found->second.fd);
     ::close(found->second.fd);
-    doors_.erase(found);
+    listeners_.erase(found);
 }
 
-void Reactor::pauseAccepting(int port, bool held) {
-    const auto found = doors_.find(port);
-    if (found == doors_.end()) return;
+void Reactor::pauseAccepting(int port, bool paused) {
+    const auto found = listeners_.find(port);
+    if (found == listeners_.end()) return;
     epoll_event event{};
     event.data.fd = found->second.fd;
-    event.events = held ? 0u : static_cast<std::uint32_t>(EPOLLIN);
+    event.events = paused ? 0u : static_cast<std::uint32_t>(EPOLLIN);
     epoll_ctl(epoll_, EPOLL_CTL_MOD, found->second.fd, &event);
 }
 
-void Reactor::setBacklog(int port, int most) {
-    const auto found = doors_.find(port);
-    if (found != doors_.end()) ::listen(found->second.fd, most);
+void Reactor::setBacklog(int port, int length) {
+    const auto found = listeners_.find(port);
+    if (found != listeners_.end()) ::listen(found->second.fd, length);
 }
 
-void Reactor::after(double ms, std::function<void()> then) { timers_.emplace(now() + ms, std::move(then)); }
+void Reactor::after(double delayMs, std::function<void()> callback) {
+    timers_.emplace(now() + delayMs, std::move(callback));
+}
 
-void Reactor::watchPipe(int fd, std::function<void()> readable) {
-    pipes_[fd] = std::move(readable);
+void Reactor::watchPipe(int fd, std::function<void()> onReadable) {
+    pipeCallbacks_[fd] = std::move(onReadable);
     epoll_event event{};
     event.data.fd = fd;
     event.events = EPOLLIN;
     epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event);
 }
 void Reactor::unwatchPipe(int fd) {
-    if (pipes_.erase(fd)) epoll_ctl(epoll_, EPOLL_CTL_DEL, fd, nullptr);
+    if (pipeCallbacks_.erase(fd)) epoll_ctl(epoll_, EPOLL_CTL_DEL, fd, nullptr);
 }
 
-void Reactor::turn(int waitMs) {
-    epoll_event events[kMostEvents];
-    const int n = epoll_wait(epoll_, events, kMostEvents, waitMs);
-    const double began = now();
+void Reactor::runOnce(int waitMs) {
+    epoll_event events[kMaxEvents];
+    const int n = epoll_wait(epoll_, events, kMaxEvents, waitMs);
+    const double startedAt = now();
     for (int i = 0; i < n; ++i) {
         const int fd = events[i].data.fd;
-        if (const auto pipe = pipes_.find(fd); pipe != pipes_.end()) {
-            const auto readable = pipe->second;
-            readable();
+        if (const auto pipe = pipeCallbacks_.find(fd); pipe != pipeCallbacks_.end()) {
+            const auto onReadable = pipe->second;
+            onReadable();
             continue;
         }
-        if (const auto door = portOfDoor_.find(fd); door != portOfDoor_.end()) {
-            const int taken = accept4(fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
-            if (taken < 0) continue;
-            noDelay(taken);
-            TcpConnectionPtr link(new TcpConnection(*this, taken, false));
-            links_[taken] = link;
+        if (const auto listener = listenerPorts_.find(fd); listener != listenerPorts_.end()) {
+            const int accepted = accept4(fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+            if (accepted < 0) continue;
+            noDelay(accepted);
+            TcpConnectionPtr connection(new TcpConnection(*this, accepted, false));
+            connections_[accepted] = connection;
             epoll_event event{};
-            event.data.fd = taken;
+            event.data.fd = accepted;
             event.events = EPOLLIN;
-            epoll_ctl(epoll_, EPOLL_CTL_ADD, taken, &event);
-            const auto accepted = doors_.at(door->second).accepted;
-            accepted(link);
+            epoll_ctl(epoll_, EPOLL_CTL_ADD, accepted, &event);
+            const auto onAccepted = listeners_.at(listener->second).onAccepted;
+            onAccepted(connection);
             continue;
         }
-        if (const auto link = links_.find(fd); link != links_.end()) {
-            const auto keep = link->second;
-            keep->ready(events[i].events);
+        if (const auto connection = connections_.find(fd); connection != connections_.end()) {
+            const auto keepAlive = connection->second;
+            keepAlive->handleEvents(events[i].events);
         }
     }
     while (!timers_.empty() && timers_.begin()->first <= now()) {
-        const auto then = std::move(timers_.begin()->second);
+        const auto callback = std::move(timers_.begin()->second);
         timers_.erase(timers_.begin());
-        then();
+        callback();
     }
     closed_.clear();
-    worstLag_ = std::max(worstLag_, now() - began);
+    worstLagMs_ = std::max(worstLagMs_, now() - startedAt);
 }
 
-void Reactor::runUntil(double ms) {
+void Reactor::runUntil(double timeMs) {
     for (;;) {
-        const double left = ms - now();
-        if (left <= 0) return;
-        double wait = left;
-        if (!timers_.empty()) wait = std::min(wait, timers_.begin()->first - now());
-        turn(static_cast<int>(std::ceil(std::max(0.0, wait))));
+        const double remainingMs = timeMs - now();
+        if (remainingMs <= 0) return;
+        double waitMs = remainingMs;
+        if (!timers_.empty()) waitMs = std::min(waitMs, timers_.begin()->first - now());
+        runOnce(static_cast<int>(std::ceil(std::max(0.0, waitMs))));
     }
 }
 
--- a/kit/soak/request.cpp
+++ b/kit/soak/request.cpp
@@ -4,18 +4,19 @@
 
 namespace spokewheel::soak {
 
-std::string formatRequest(const ClientRequest& r) {
-    const bool put = r.method == "PUT";
-    std::string text = r.method + " /" + r.requestClass + "/object HTTP/1.1\r\nHost: service.internal\r\n";
-    text += "X-Request-ID: " + r.id + "\r\n";
-    text += "X-Priority-Class: " + r.requestClass + "\r\n";
-    text += "X-Plan: " + r.plan + "\r\n";
-    text += "Cookie: block=" + r.key + "\r\n";
-    text += "X-Timeout-Ms: " + std::to_string(static_cast<int>(r.timeoutMs)) + "\r\n";
-    text += "X-IO: volume=" + r.volume + ",units=" + std::to_string(r.units) +
-            ",shard=" + std::to_string(r.cell) + ",hosts=" + std::to_string(r.hosts) + "\r\n";
-    if (put) text += "Content-Length: " + std::to_string(r.body.size()) + "\r\n";
-    return text + "\r\n" + (put ? r.body : std::string());
+std::string formatRequest(const ClientRequest& request) {
+    const bool hasBody = request.method == "PUT";
+    std::string text =
+        request.method + " /" + request.requestClass + "/object HTTP/1.1\r\nHost: service.internal\r\n";
+    text += "X-Request-ID: " + request.id + "\r\n";
+    text += "X-Priority-Class: " + request.requestClass + "\r\n";
+    text += "X-Plan: " + request.plan + "\r\n";
+    text += "Cookie: block=" + request.key + "\r\n";
+    text += "X-Timeout-Ms: " + std::to_string(static_cast<int>(request.timeoutMs)) + "\r\n";
+    text += "X-IO: volume=" + request.volume + ",units=" + std::to_string(request.units) +
+            ",shard=" + std::to_string(request.cell) + ",hosts=" + std::to_string(request.hosts) + "\r\n";
+    if (hasBody) text += "Content-Length: " + std::to_string(request.body.size()) + "\r\n";
+    return text + "\r\n" + (hasBody ? request.body : std::string());
 }
 
 std::string newRequestId() {
--- a/kit/soak/request.hpp
+++ b/kit/soak/request.hpp
@@ -1,4 +1,5 @@
-// The text of a client's request, as the platform's protocol has it, and the numbers that a run gives out.
+// Client requests in the platform's HTTP dialect, ids of requests and connections, and times that both kinds
+// of clients share.
 #pragma once
 
 #include <string>
@@ -10,17 +11,19 @@
     double timeoutMs = 0;
     std::string volume;  // 16 hex digits
     int units = 1, cell = 0, hosts = 1;
-    std::string body;  // of a PUT
+    std::string body;  // only sent with a PUT
 };
+// The whole HTTP request, head and body.
 std::string formatRequest(const ClientRequest& request);
 
-// Never given out before in this process.
+// Both are unique within this process.
 std::string newRequestId();
 int newConnectionNumber();
 
-// After its end no byte of a connection is read any more, so that what was read of it is known.
+// How long after the end of a connection the scheduler may still read from it. The count of bytes read is
+// final afterwards.
 constexpr double kLastReadWaitMs = 750;
-// After SIGTERM new connections keep coming for so long.
+// Clients open new connections for this long after SIGTERM.
 constexpr double kNewConnectionsAfterStopMs = 400;
 
 }  // namespace spokewheel::soak
