--- a/kit/soak/fault_shim.cpp
+++ b/kit/soak/fault_shim.cpp
@@ -1,6 +1,6 @@
-// Preloaded into a scheduler process of the soak: makes system calls fail in ways that Linux documents, at
-// the rates of the shared FaultControl, and counts what the process reads. Does nothing without a control
-// file.
+// LD_PRELOAD library for the scheduler processes of the soak. Makes system calls fail in ways that Linux
+// documents, at the rates set in the shared FaultControl, and counts the bytes that the process reads. Passes
+// all calls through if no control file is given.
 #include <arpa/inet.h>
 #include <dlfcn.h>
 #include <fcntl.h>
@@ -23,19 +23,23 @@
 using spokewheel::soak::Fault;
 using spokewheel::soak::FaultControl;
 
-constexpr int kMostDescriptors = 4096;
-constexpr int kBreakEvery = 50;  // of connections that may break, so that most of them live
+constexpr int kMaxDescriptors = 4096;
+constexpr int kReadErrorEvery = 50;  // only one of 50 selected reads fails, so that most connections survive
 
-constexpr nfds_t kMostOfOneLook = 2;
-constexpr useconds_t kLookAgainUs = 500;
+// A poll without time-out on at most this many descriptors is the check of one socket before a write.
+constexpr nfds_t kMaxSocketsOfWriteCheck = 2;
+constexpr useconds_t kPollAgainUs = 500;
 
 FaultControl* control = nullptr;
 std::uint64_t randomState = 0;
-double comesUpAt[kMostDescriptors];            // of a connection that comes up late; 0: of none
-std::uint16_t acceptedFrom[kMostDescriptors];  // port of the other side; 0: not an accepted connection
+// By descriptor. When a delayed outgoing connection is reported as established; 0: not delayed.
+double establishedAtMs[kMaxDescriptors];
+// By descriptor. The remote port of an accepted connection; 0: not an accepted connection.
+std::uint16_t acceptedPeerPort[kMaxDescriptors];
 
+// The function that this library's function of the same name replaces.
 template <class Function>
-Function next(const char* name) {
+Function nextSymbol(const char* name) {
     return reinterpret_cast<Function>(dlsym(RTLD_NEXT, name));
 }
 
@@ -59,7 +63,8 @@
     return static_cast<std::uint32_t>((randomState >> 11) % bound);
 }
 
-bool strikes(Fault fault) {
+// Draws whether the fault is injected into this call, and counts it if so.
+bool shouldInject(Fault fault) {
     if (!control) return false;
     const auto i = static_cast<std::size_t>(fault);
     const auto rate = control->ratePermille[i].load(std::memory_order_relaxed);
@@ -68,8 +73,9 @@
     return true;
 }
 
+// Sets errno to one of the errors, drawn at random, and returns -1.
 template <std::size_t N>
-int fail(const int (&errors)[N]) {
+int failWith(const int (&errors)[N]) {
     errno = errors[randomBelow(N)];
     return -1;
 }
@@ -77,38 +83,39 @@
 constexpr int kAcceptErrors[] = {ECONNABORTED, ENFILE, ENOBUFS, EMFILE};
 constexpr int kSocketErrors[] = {ENFILE, ENOBUFS, EMFILE};
 constexpr int kConnectErrors[] = {ENOBUFS, EADDRNOTAVAIL, ENETUNREACH};
-constexpr int kBreakErrors[] = {ETIMEDOUT, EHOSTUNREACH};
+constexpr int kReadErrors[] = {ETIMEDOUT, EHOSTUNREACH};
 
-void noteAccepted(int fd) {
-    if (!control || fd < 0 || fd >= kMostDescriptors) return;
+void trackAccepted(int fd) {
+    if (!control || fd < 0 || fd >= kMaxDescriptors) return;
     sockaddr_in peer{};
     socklen_t size = sizeof peer;
     if (getpeername(fd, reinterpret_cast<sockaddr*>(&peer), &size) != 0 || peer.sin_family != AF_INET) return;
-    acceptedFrom[fd] = ntohs(peer.sin_port);
-    control->bytesReadByPort[acceptedFrom[fd]].store(0);
+    acceptedPeerPort[fd] = ntohs(peer.sin_port);
+    control->bytesReadByPort[acceptedPeerPort[fd]].store(0);
 }
 
-void noteRead(int fd, ssize_t bytes, int flags) {
-    if (!control || bytes <= 0 || (flags & MSG_PEEK) || fd < 0 || fd >= kMostDescriptors) return;
-    if (acceptedFrom[fd])
-        control->bytesReadByPort[acceptedFrom[fd]].fetch_add(static_cast<std::uint64_t>(bytes));
+void countRead(int fd, ssize_t bytes, int flags) {
+    if (!control || bytes <= 0 || (flags & MSG_PEEK) || fd < 0 || fd >= kMaxDescriptors) return;
+    if (acceptedPeerPort[fd])
+        control->bytesReadByPort[acceptedPeerPort[fd]].fetch_add(static_cast<std::uint64_t>(bytes));
 }
 
 double monotonicMs() {
     timespec now{};
-    static const auto real = next<int (*)(clockid_t, timespec*)>("clock_gettime");
+    static const auto real = nextSymbol<int (*)(clockid_t, timespec*)>("clock_gettime");
     real(CLOCK_MONOTONIC, &now);
     return static_cast<double>(now.tv_sec) * 1e3 + static_cast<double>(now.tv_nsec) / 1e6;
 }
 
-// Takes the word that a connection has come up out of what poll found, while it is to come up later.
-int hideLateConnections(pollfd* descriptors, nfds_t count, int ready) {
-    const double now = monotonicMs();
+// Removes the events of connections whose establishment is still delayed from the result of poll().
+int hideDelayedConnections(pollfd* descriptors, nfds_t count, int ready) {
+    const double nowMs = monotonicMs();
     for (nfds_t i = 0; i < count && ready > 0; ++i) {
-        auto& one = descriptors[i];
-        if (one.fd < 0 || one.fd >= kMostDescriptors || comesUpAt[one.fd] <= now || one.revents == 0)
+        auto& entry = descriptors[i];
+        if (entry.fd < 0 || entry.fd >= kMaxDescriptors || establishedAtMs[entry.fd] <= nowMs ||
+            entry.revents == 0)
             continue;
-        one.revents = 0;
+        entry.revents = 0;
         --ready;
     }
     return ready;
@@ -121,63 +128,63 @@
 }
 bool isStream(int fd) { return hasType(fd, SOCK_STREAM); }
 
-bool losesDatagram(int fd) { return strikes(Fault::DatagramLoss) && hasType(fd, SOCK_DGRAM); }
+bool shouldDropDatagram(int fd) { return shouldInject(Fault::DatagramLoss) && hasType(fd, SOCK_DGRAM); }
 
 }  // namespace
 
 extern "C" {
 
 int accept4(int fd, sockaddr* address, socklen_t* size, int flags) {
-    static const auto real = next<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
-    if (strikes(Fault::AcceptError)) return fail(kAcceptErrors);
-    const int taken = real(fd, address, size, flags);
-    noteAccepted(taken);
-    return taken;
+    static const auto real = nextSymbol<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
+    if (shouldInject(Fault::AcceptError)) return failWith(kAcceptErrors);
+    const int accepted = real(fd, address, size, flags);
+    trackAccepted(accepted);
+    return accepted;
 }
 
 int accept(int fd, sockaddr* address, socklen_t* size) { return accept4(fd, address, size, 0); }
 
 int socket(int domain, int type, int protocol) {
-    static const auto real = next<int (*)(int, int, int)>("socket");
-    if (strikes(Fault::SocketError)) return fail(kSocketErrors);
+    static const auto real = nextSymbol<int (*)(int, int, int)>("socket");
+    if (shouldInject(Fault::SocketError)) return failWith(kSocketErrors);
     return real(domain, type, protocol);
 }
 
 int connect(int fd, const sockaddr* address, socklen_t size) {
-    static const auto real = next<int (*)(int, const sockaddr*, socklen_t)>("connect");
-    if (strikes(Fault::ConnectError)) return fail(kConnectErrors);
+    static const auto real = nextSymbol<int (*)(int, const sockaddr*, socklen_t)>("connect");
+    if (shouldInject(Fault::ConnectError)) return failWith(kConnectErrors);
     const int result = real(fd, address, size);
-    if ((result != 0 && errno != EINPROGRESS) || !strikes(Fault::ConnectDelay)) return result;
-    if (fd < kMostDescriptors) {
-        const auto most = std::max(2u, control->connectDelayMs.load());
-        comesUpAt[fd] = monotonicMs() + most / 2 + randomBelow(most / 2);
+    if ((result != 0 && errno != EINPROGRESS) || !shouldInject(Fault::ConnectDelay)) return result;
+    if (fd < kMaxDescriptors) {
+        const auto maxMs = std::max(2u, control->connectDelayMs.load());
+        establishedAtMs[fd] = monotonicMs() + maxMs / 2 + randomBelow(maxMs / 2);
     }
     errno = EINPROGRESS;
     return -1;
 }
 
 int close(int fd) {
-    static const auto real = next<int (*)(int)>("close");
-    if (fd >= 0 && fd < kMostDescriptors) acceptedFrom[fd] = 0, comesUpAt[fd] = 0;
+    static const auto real = nextSymbol<int (*)(int)>("close");
+    if (fd >= 0 && fd < kMaxDescriptors) acceptedPeerPort[fd] = 0, establishedAtMs[fd] = 0;
     return real(fd);
 }
 
 ssize_t recv(int fd, void* buffer, size_t size, int flags) {
-    static const auto real = next<ssize_t (*)(int, void*, size_t, int)>("recv");
-    const bool client = fd >= 0 && fd < kMostDescriptors && acceptedFrom[fd];
-    if (!client && !(flags & MSG_PEEK) && strikes(Fault::ReadError) && randomBelow(kBreakEvery) == 0 &&
-        isStream(fd))
-        return fail(kBreakErrors);
-    if (size > 1 && strikes(Fault::ShortRead))
+    static const auto real = nextSymbol<ssize_t (*)(int, void*, size_t, int)>("recv");
+    const bool fromClient = fd >= 0 && fd < kMaxDescriptors && acceptedPeerPort[fd];
+    if (!fromClient && !(flags & MSG_PEEK) && shouldInject(Fault::ReadError) &&
+        randomBelow(kReadErrorEvery) == 0 && isStream(fd))
+        return failWith(kReadErrors);
+    if (size > 1 && shouldInject(Fault::ShortRead))
         size = 1 + randomBelow(static_cast<std::uint32_t>(std::min<size_t>(size, 64)));
     const ssize_t got = real(fd, buffer, size, flags);
-    noteRead(fd, got, flags);
+    countRead(fd, got, flags);
     return got;
 }
 
 ssize_t send(int fd, const void* buffer, size_t size, int flags) {
-    static const auto real = next<ssize_t (*)(int, const void*, size_t, int)>("send");
-    if (size > 1 && strikes(Fault::ShortWrite)) {
+    static const auto real = nextSymbol<ssize_t (*)(int, const void*, size_t, int)>("send");
+    if (size > 1 && shouldInject(Fault::ShortWrite)) {
         if (randomBelow(4) == 0) {
             errno = EAGAIN;
             return -1;
@@ -188,8 +195,8 @@
 }
 
 ssize_t sendmsg(int fd, const msghdr* message, int flags) {
-    static const auto real = next<ssize_t (*)(int, const msghdr*, int)>("sendmsg");
-    if (!losesDatagram(fd)) return real(fd, message, flags);
+    static const auto real = nextSymbol<ssize_t (*)(int, const msghdr*, int)>("sendmsg");
+    if (!shouldDropDatagram(fd)) return real(fd, message, flags);
     size_t size = 0;
     for (size_t i = 0; i < message->msg_iovlen; ++i) size += message->msg_iov[i].iov_len;
     return static_cast<ssize_t>(size);
@@ -197,34 +204,34 @@
 
 ssize_t sendto(int fd, const void* buffer, size_t size, int flags, const sockaddr* to, socklen_t length) {
     static const auto real =
-        next<ssize_t (*)(int, const void*, size_t, int, const sockaddr*, socklen_t)>("sendto");
-    return losesDatagram(fd) ? static_cast<ssize_t>(size) : real(fd, buffer, size, flags, to, length);
+        nextSymbol<ssize_t (*)(int, const void*, size_t, int, const sockaddr*, socklen_t)>("sendto");
+    return shouldDropDatagram(fd) ? static_cast<ssize_t>(size) : real(fd, buffer, size, flags, to, length);
 }
 
 int poll(pollfd* descriptors, nfds_t count, int timeout) {
-    static const auto real = next<int (*)(pollfd*, nfds_t, int)>("poll");
-    if (timeout != 0 && strikes(Fault::PollInterrupted)) {
+    static const auto real = nextSymbol<int (*)(pollfd*, nfds_t, int)>("poll");
+    if (timeout != 0 && shouldInject(Fault::PollInterrupted)) {
         errno = EINTR;
         return -1;
     }
-    const double until = timeout < 0 ? 1e18 : monotonicMs() + timeout;
-    int ready = hideLateConnections(descriptors, count, real(descriptors, count, timeout));
-    // What was hidden would end each wait at once.
-    while (ready == 0 && monotonicMs() < until) {
-        usleep(kLookAgainUs);
-        ready = hideLateConnections(descriptors, count, real(descriptors, count, 0));
+    const double deadlineMs = timeout < 0 ? 1e18 : monotonicMs() + timeout;
+    int ready = hideDelayedConnections(descriptors, count, real(descriptors, count, timeout));
+    // A hidden connection makes each poll() return at once, so the rest of the wait is done in short sleeps.
+    while (ready == 0 && monotonicMs() < deadlineMs) {
+        usleep(kPollAgainUs);
+        ready = hideDelayedConnections(descriptors, count, real(descriptors, count, 0));
     }
-    // A look of the main loop, with or without a wait; not the look at one socket before a write.
-    const bool ofLoop = timeout != 0 || count > kMostOfOneLook;
-    if (ready > 0 && ofLoop && strikes(Fault::PollDelay)) {
-        const auto most = std::max(1u, control->pollDelayMs.load());
-        usleep(1000 * (most / 2 + randomBelow(most / 2 + 1)));
+    // A poll of the main loop, with or without a time-out, but not the check of one socket before a write.
+    const bool ofMainLoop = timeout != 0 || count > kMaxSocketsOfWriteCheck;
+    if (ready > 0 && ofMainLoop && shouldInject(Fault::PollDelay)) {
+        const auto maxMs = std::max(1u, control->pollDelayMs.load());
+        usleep(1000 * (maxMs / 2 + randomBelow(maxMs / 2 + 1)));
     }
     return ready;
 }
 
 int clock_gettime(clockid_t clock, timespec* out) {
-    static const auto real = next<int (*)(clockid_t, timespec*)>("clock_gettime");
+    static const auto real = nextSymbol<int (*)(clockid_t, timespec*)>("clock_gettime");
     const int result = real(clock, out);
     if (result != 0 || clock != CLOCK_REALTIME || !control) return result;
     const std::int64_t us = out->tv_sec * 1000000LL + out->tv_nsec / 1000 + control->wallOffsetUs.load();
