--- a/kit/soak/agent.cpp
+++ b/kit/soak/agent.cpp
@@ -9,11 +9,12 @@
 namespace spokewheel::soak {
 namespace {
 
-constexpr double kBeatMs = 2000, kOldPlaceMs = 1500, kSilenceMs = 6000, kMovedMs = 4000;
-constexpr std::size_t kPiece = 120;
-constexpr double kPieceMs = 3;
+constexpr double kHeartbeatMs = 2000, kFormerPortOpenMs = 1500, kNoticeAfterSilenceMs = 6000,
+                 kNoticeAfterMoveMs = 4000;
+constexpr std::size_t kSlowPieceBytes = 120;
+constexpr double kSlowPieceGapMs = 3;
 
-std::string chunkOf(const std::string& bytes) {
+std::string httpChunk(const std::string& bytes) {
     char size[16];
     std::snprintf(size, sizeof size, "%zx", bytes.size());
     return std::string(size) + "\r\n" + bytes + "\r\n";
@@ -21,42 +22,44 @@
 
 }  // namespace
 
-Agent::Agent(Reactor& reactor, Random& random, EventSink record, int scheduler, int port, Written written)
+Agent::Agent(Reactor& reactor, Random& random, EventSink record, int scheduler, int port,
+             MemberSent onMemberSent)
     : reactor_(reactor),
       random_(random),
       record_(std::move(record)),
       scheduler_(scheduler),
       port_(port),
-      written_(std::move(written)) {
-    openPlace();
-    reactor_.after(kBeatMs, [this, alive = alive_] {
-        if (*alive) beat();
+      onMemberSent_(std::move(onMemberSent)) {
+    startListening();
+    reactor_.after(kHeartbeatMs, [this, alive = alive_] {
+        if (*alive) sendHeartbeat();
     });
 }
 
 Agent::~Agent() {
     *alive_ = false;
     reactor_.stopListening(port_);
-    for (const auto& watch : watches_) watch->link->close();
+    for (const auto& watch : watches_) watch->connection->close();
 }
 
-void Agent::openPlace() {
-    reactor_.listen(port_, [this](TcpConnectionPtr link) { accept(std::move(link)); });
+void Agent::startListening() {
+    reactor_.listen(port_, [this](TcpConnectionPtr connection) { accept(std::move(connection)); });
 }
 
 std::string Agent::listJson(int sinceRevision, bool complete, bool indented) const {
-    const std::string gap = indented ? "\n    " : "";
+    const std::string separator = indented ? "\n    " : "";
     std::ostringstream out;
-    out << "{" << gap << "\"revision\":" << revision_ << "," << gap
-        << "\"complete\":" << (complete ? "true" : "false") << "," << gap << "\"members\":[";
+    out << "{" << separator << "\"revision\":" << revision_ << "," << separator
+        << "\"complete\":" << (complete ? "true" : "false") << "," << separator << "\"members\":[";
     const char* comma = "";
-    for (const auto& m : members_) {
-        if (complete ? m.phase == "removed" : m.revision <= sinceRevision) continue;
+    for (const auto& member : members_) {
+        if (complete ? member.phase == "removed" : member.revision <= sinceRevision) continue;
         char upSince[32];
-        std::snprintf(upSince, sizeof upSince, "%.0f", m.upSinceMs);
-        out << comma << gap << "{" << gap << R"("id":")" << m.id << R"(","host_port":"127.0.0.1:)" << m.port
-            << R"(","locality":")" << m.zone << R"(","flavor":"m2","cell":)" << m.cell << R"(,"phase":")"
-            << m.phase << R"(","size":1.0,"up_since_ms":)" << upSince << "}";
+        std::snprintf(upSince, sizeof upSince, "%.0f", member.upSinceMs);
+        out << comma << separator << "{" << separator << R"("id":")" << member.id
+            << R"(","host_port":"127.0.0.1:)" << member.port << R"(","locality":")" << member.zone
+            << R"(","flavor":"m2","cell":)" << member.cell << R"(,"phase":")" << member.phase
+            << R"(","size":1.0,"up_since_ms":)" << upSince << "}";
         comma = ",";
     }
     out << "]" << (indented ? "\n" : "") << "}";
@@ -69,14 +72,15 @@
     const int revision = std::max(1, self.revision_ - revisionsBack);
     out << "{\"revision\":" << revision << ",\"complete\":true,\"members\":[";
     const char* comma = "";
-    for (const auto& m : members_) {
-        if (m.phase == "removed" && m.revision <= revision) continue;
-        if (m.revision > revision && m.upSinceMs > 0) continue;  // not there yet
+    for (const auto& member : members_) {
+        if (member.phase == "removed" && member.revision <= revision) continue;
+        if (member.revision > revision && member.upSinceMs > 0) continue;  // not listed yet at that revision
         char upSince[32];
-        std::snprintf(upSince, sizeof upSince, "%.0f", m.upSinceMs);
-        out << comma << R"({"id":")" << m.id << R"(","host_port":"127.0.0.1:)" << m.port
-            << R"(","locality":")" << m.zone << R"(","flavor":"m2","cell":)" << m.cell << R"(,"phase":")"
-            << (m.revision > revision ? "up" : m.phase) << R"(","size":1.0,"up_since_ms":)" << upSince << "}";
+        std::snprintf(upSince, sizeof upSince, "%.0f", member.upSinceMs);
+        out << comma << R"({"id":")" << member.id << R"(","host_port":"127.0.0.1:)" << member.port
+            << R"(","locality":")" << member.zone << R"(","flavor":"m2","cell":)" << member.cell
+            << R"(,"phase":")" << (member.revision > revision ? "up" : member.phase)
+            << R"(","size":1.0,"up_since_ms":)" << upSince << "}";
         comma = ",";
     }
     out << "]}";
@@ -87,24 +91,26 @@
     if (down_) return pending_.push_back(member);
     const auto found =
         std::find_if(members_.begin(), members_.end(), [&](const Member& m) { return m.id == member.id; });
-    auto& held = found == members_.end() ? members_.emplace_back(member) : *found;
-    held = member;
-    held.revision = ++revision_;
-    if (member.phase != "up") notify(held, toldAtLatest());
+    auto& stored = found == members_.end() ? members_.emplace_back(member) : *found;
+    stored = member;
+    stored.revision = ++revision_;
+    if (member.phase != "up") recordNotified(stored, notifiedBy());
     for (const auto& watch : watches_)
-        if (watch->asked && !watch->silenced && !watch->old) writeChanges(watch, false);
+        if (watch->requested && !watch->silenced && !watch->onFormerPort) sendChanges(watch, false);
 }
 
-// When a change that the agent has now counts as told at the latest.
-double Agent::toldAtLatest() const {
+// The time by which the scheduler counts as notified of a change that reaches the agent now: at once if a
+// watch is active, otherwise after the time that it has to notice silent watches or a moved agent.
+double Agent::notifiedBy() const {
     const double now = reactor_.now();
-    const bool speaks = std::any_of(watches_.begin(), watches_.end(),
-                                    [](const WatchPtr& w) { return w->asked && !w->silenced && !w->old; });
-    if (speaks) return now;
-    return std::max({now, silencedAt_ + kSilenceMs, movedAt_ + kMovedMs});
+    const bool anyActive = std::any_of(watches_.begin(), watches_.end(), [](const WatchPtr& w) {
+        return w->requested && !w->silenced && !w->onFormerPort;
+    });
+    if (anyActive) return now;
+    return std::max({now, silencedAt_ + kNoticeAfterSilenceMs, movedAt_ + kNoticeAfterMoveMs});
 }
 
-void Agent::notify(const Member& member, double at) {
+void Agent::recordNotified(const Member& member, double at) {
     Event event;
     event.kind = EventKind::Notified;
     event.at = at;
@@ -122,7 +128,7 @@
     }
     for (const auto& member : std::exchange(pending_, {})) updateMember(member);
     for (const auto& watch : watches_)
-        if (!watch->got.empty() && !watch->asked) onRequest(watch);
+        if (!watch->request.empty() && !watch->requested) onRequest(watch);
 }
 
 void Agent::silenceWatches() {
@@ -133,94 +139,95 @@
 void Agent::resetWatches() {
     const auto watches = watches_;
     for (const auto& watch : watches) {
-        watch->link->reset();
-        drop(watch);
+        watch->connection->reset();
+        remove(watch);
     }
 }
 
 void Agent::moveTo(int port) {
-    const int before = std::exchange(port_, port);
-    reactor_.stopListening(before);
-    openPlace();
+    const int formerPort = std::exchange(port_, port);
+    reactor_.stopListening(formerPort);
+    startListening();
     movedAt_ = reactor_.now();
-    for (const auto& watch : watches_) watch->old = true;
-    reactor_.after(kOldPlaceMs, [this, alive = alive_] {
+    for (const auto& watch : watches_) watch->onFormerPort = true;
+    reactor_.after(kFormerPortOpenMs, [this, alive = alive_] {
         if (!*alive) return;
         const auto watches = watches_;
         for (const auto& watch : watches) {
-            if (!watch->old) continue;
-            watch->link->close();
-            drop(watch);
+            if (!watch->onFormerPort) continue;
+            watch->connection->close();
+            remove(watch);
         }
     });
 }
 
-void Agent::accept(TcpConnectionPtr link) {
+void Agent::accept(TcpConnectionPtr connection) {
     auto watch = std::make_shared<Watch>();
-    watch->link = link;
+    watch->connection = connection;
     watches_.push_back(watch);
     const std::weak_ptr<Watch> weak = watch;
-    link->onData = [this, weak](std::string_view bytes) {
+    connection->onData = [this, weak](std::string_view bytes) {
         const auto w = weak.lock();
         if (!w) return;
-        w->got += bytes;
-        if (!down_ && !w->asked) onRequest(w);
+        w->request += bytes;
+        if (!down_ && !w->requested) onRequest(w);
     };
-    link->onEnd = [this, weak](TcpConnection::End) {
+    connection->onEnd = [this, weak](TcpConnection::End) {
         const auto w = weak.lock();
         if (!w) return;
-        w->link->close();
-        drop(w);
+        w->connection->close();
+        remove(w);
     };
 }
 
-void Agent::drop(const WatchPtr& watch) {
+void Agent::remove(const WatchPtr& watch) {
     watches_.erase(std::remove(watches_.begin(), watches_.end(), watch), watches_.end());
 }
 
 void Agent::onRequest(const WatchPtr& watch) {
-    if (watch->got.find("\r\n\r\n") == std::string::npos) return;
-    watch->asked = true;
-    const auto at = watch->got.find("index=");
-    const int index = at == std::string::npos ? -1 : std::atoi(watch->got.c_str() + at + 6);
-    write(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    if (watch->request.find("\r\n\r\n") == std::string::npos) return;
+    watch->requested = true;
+    const auto indexAt = watch->request.find("index=");
+    const int index = indexAt == std::string::npos ? -1 : std::atoi(watch->request.c_str() + indexAt + 6);
+    send(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     const bool complete = index < 0 || chance(random_, 0.3);
-    watch->writtenUpTo = index;
-    if (!complete && index >= revision_) return write(watch, chunkOf("\n"));
-    writeChanges(watch, complete);
+    watch->sentRevision = index;
+    if (!complete && index >= revision_) return send(watch, httpChunk("\n"));
+    sendChanges(watch, complete);
 }
 
-void Agent::write(const WatchPtr& watch, const std::string& bytes) {
-    if (!slow_) return watch->link->write(bytes);
+void Agent::send(const WatchPtr& watch, const std::string& bytes) {
+    if (!slow_) return watch->connection->write(bytes);
     const std::weak_ptr<Watch> weak = watch;
-    watch->queuedUntil = std::max(watch->queuedUntil, reactor_.now());
-    for (std::size_t at = 0; at < bytes.size(); at += kPiece) {
-        watch->queuedUntil += kPieceMs;
-        reactor_.after(watch->queuedUntil - reactor_.now(), [weak, part = bytes.substr(at, kPiece)] {
-            if (const auto w = weak.lock()) w->link->write(part);
-        });
+    watch->queuedUntilMs = std::max(watch->queuedUntilMs, reactor_.now());
+    for (std::size_t at = 0; at < bytes.size(); at += kSlowPieceBytes) {
+        watch->queuedUntilMs += kSlowPieceGapMs;
+        reactor_.after(watch->queuedUntilMs - reactor_.now(),
+                       [weak, part = bytes.substr(at, kSlowPieceBytes)] {
+                           if (const auto w = weak.lock()) w->connection->write(part);
+                       });
     }
 }
 
-void Agent::writeChanges(const WatchPtr& watch, bool complete) {
-    const int since = complete ? 0 : watch->writtenUpTo;
-    const auto text = listJson(since, complete, chance(random_, 0.3));
-    write(watch, chunkOf(text + "\n"));
+void Agent::sendChanges(const WatchPtr& watch, bool complete) {
+    const int sinceRevision = complete ? 0 : watch->sentRevision;
+    const auto text = listJson(sinceRevision, complete, chance(random_, 0.3));
+    send(watch, httpChunk(text + "\n"));
     const double now = reactor_.now();
-    for (const auto& m : members_) {
-        if (m.revision <= watch->writtenUpTo && !complete) continue;
-        if (m.phase != "up" && m.revision > watch->writtenUpTo) notify(m, now);
-        if (m.phase == "up") written_(m);
+    for (const auto& member : members_) {
+        if (member.revision <= watch->sentRevision && !complete) continue;
+        if (member.phase != "up" && member.revision > watch->sentRevision) recordNotified(member, now);
+        if (member.phase == "up") onMemberSent_(member);
     }
-    watch->writtenUpTo = revision_;
+    watch->sentRevision = revision_;
 }
 
-void Agent::beat() {
+void Agent::sendHeartbeat() {
     if (!down_)
         for (const auto& watch : watches_)
-            if (watch->asked && !watch->silenced) write(watch, chunkOf("\n"));
-    reactor_.after(kBeatMs, [this, alive = alive_] {
-        if (*alive) beat();
+            if (watch->requested && !watch->silenced) send(watch, httpChunk("\n"));
+    reactor_.after(kHeartbeatMs, [this, alive = alive_] {
+        if (*alive) sendHeartbeat();
     });
 }
 
--- a/kit/soak/agent.hpp
+++ b/kit/soak/agent.hpp
@@ -1,5 +1,6 @@
-// The discovery agent on one scheduler's machine: the list, watches on it, silence, moves. It records when
-// its scheduler counts as told of a drain by the standing terms.
+// A stand-in for the discovery agent on one scheduler's machine: serves the list of disk servers and watches
+// on it over HTTP, can fall silent, slow down or move to another port. Records when its scheduler counts as
+// notified that a server drains or was removed.
 #pragma once
 
 #include <functional>
@@ -12,63 +13,68 @@
 
 namespace spokewheel::soak {
 
+// A disk server as the list shows it.
 struct Member {
     std::string id, zone, phase = "up";
     int cell = 0, port = 0;
     double upSinceMs = 0;
-    int revision = 0;  // of its last change
+    int revision = 0;  // of the list, at the member's last change
 };
 
 class Agent {
   public:
-    // Called when a watch carried a member to its scheduler.
-    using Written = std::function<void(const Member&)>;
-    Agent(Reactor& reactor, Random& random, EventSink record, int scheduler, int port, Written written);
+    // Called for each member in phase "up" that is sent to the scheduler over a watch.
+    using MemberSent = std::function<void(const Member&)>;
+    Agent(Reactor& reactor, Random& random, EventSink record, int scheduler, int port,
+          MemberSent onMemberSent);
     ~Agent();
     Agent(const Agent&) = delete;
     Agent& operator=(const Agent&) = delete;
 
     int port() const { return port_; }
     int revision() const { return revision_; }
-    // What discovery tells; while it is down the agent learns of it at the return.
+    // Adds or replaces the member. While the agent is down the change is kept and applied when it is up
+    // again.
     void updateMember(const Member& member);
-    void setDown(bool down);  // silent, and learns nothing
+    void setDown(bool down);  // answers nothing and applies no changes
     bool down() const { return down_; }
     double downSince() const { return downSince_; }
-    void silenceWatches();  // open ones say nothing any more
-    void resetWatches();
-    void setSlow(bool slow) { slow_ = slow; }  // lists go out in small pieces
-    // The list service is at `port` from now on; its old place closes after 1.5 s.
+    void silenceWatches();                     // sends nothing more over the open watches
+    void resetWatches();                       // closes them with a TCP RST
+    void setSlow(bool slow) { slow_ = slow; }  // lists are sent in small pieces with gaps
+    // Listens on another port from now on. Connections to the former port are closed after 1.5 s.
     void moveTo(int port);
-    // The list at `revision` or before, as configurations carry it.
+    // The list as JSON: all members that are not removed, or those that changed after `sinceRevision`.
     std::string listJson(int sinceRevision, bool complete, bool indented) const;
+    // The whole list as it was about `revisionsBack` revisions ago, the form in which configurations contain
+    // it.
     std::string fullListJson(int revisionsBack) const;
 
   private:
     struct Watch {
-        TcpConnectionPtr link;
-        std::string got;
-        bool asked = false, silenced = false, old = false;
-        int writtenUpTo = 0;
-        double queuedUntil = 0;
+        TcpConnectionPtr connection;
+        std::string request;  // bytes received so far
+        bool requested = false, silenced = false, onFormerPort = false;
+        int sentRevision = 0;
+        double queuedUntilMs = 0;  // when the last piece of what is queued will be sent
     };
     using WatchPtr = std::shared_ptr<Watch>;
-    void openPlace();
-    void accept(TcpConnectionPtr link);
+    void startListening();
+    void accept(TcpConnectionPtr connection);
     void onRequest(const WatchPtr& watch);
-    void write(const WatchPtr& watch, const std::string& bytes);
-    void writeChanges(const WatchPtr& watch, bool complete);
+    void send(const WatchPtr& watch, const std::string& bytes);
+    void sendChanges(const WatchPtr& watch, bool complete);
     void carry(const WatchPtr& watch);
-    void beat();
-    void drop(const WatchPtr& watch);
-    double toldAtLatest() const;
-    void notify(const Member& member, double at);
+    void sendHeartbeat();
+    void remove(const WatchPtr& watch);
+    double notifiedBy() const;
+    void recordNotified(const Member& member, double at);
 
     Reactor& reactor_;
     Random& random_;
     EventSink record_;
     int scheduler_, port_;
-    Written written_;
+    MemberSent onMemberSent_;
     int revision_ = 1;
     bool down_ = false, slow_ = false;
     double movedAt_ = -1e12, silencedAt_ = -1e12, downSince_ = -1e12;
