--- a/kit/soak/clients.cpp
+++ b/kit/soak/clients.cpp
@@ -10,8 +10,8 @@
 namespace spokewheel::soak {
 namespace {
 
-constexpr std::size_t kMostConnections = 24;
-constexpr double kConnectMs = 1500;
+constexpr std::size_t kMaxConnections = 24;
+constexpr double kConnectTimeoutMs = 1500;
 
 }  // namespace
 
@@ -27,22 +27,23 @@
 Clients::~Clients() {
     *alive_ = false;
     closeIdleConnections();
-    for (const auto& c : connections_) c->link->close();
+    for (const auto& connection : connections_) connection->tcp->close();
 }
 
-void Clients::note(EventKind kind, const ConnectionPtr& c, const Asked* asked, int status, bool flag) {
+void Clients::recordEvent(EventKind kind, const ConnectionPtr& connection, const Request* request, int status,
+                          bool flag) {
     Event event;
     event.kind = kind;
-    event.at = kind == EventKind::RequestSent ? asked->at : reactor_.now();
+    event.at = kind == EventKind::RequestSent ? request->sentAt : reactor_.now();
     event.scheduler = rank_;
-    event.process = c->life;
-    event.connection = c->number;
-    if (asked) {
-        event.request = asked->id;
-        event.requestClass = asked->requestClass;
-        event.timeoutMs = asked->timeoutMs;
-        event.cell = asked->cell;
-        event.limited = asked->limited;
+    event.process = connection->incarnation;
+    event.connection = connection->number;
+    if (request) {
+        event.request = request->id;
+        event.requestClass = request->requestClass;
+        event.timeoutMs = request->timeoutMs;
+        event.cell = request->cell;
+        event.limited = request->limited;
     }
     event.status = status;
     (kind == EventKind::ConnectionEnded ? event.read : event.genuine) = flag;
@@ -50,220 +51,228 @@
 }
 
 void Clients::start() {
-    asking_ = true;
-    arrive();
+    sending_ = true;
+    scheduleArrivals();
 }
 
-void Clients::arrive() {
-    if (!asking_) return;
-    const double gap = -std::log(1 - drawReal(random_)) * 1000 / options_.requestsPerSecond;
-    reactor_.after(gap, [this, alive = alive_] {
-        if (*alive) arrive();
+void Clients::scheduleArrivals() {
+    if (!sending_) return;
+    const double gapMs = -std::log(1 - drawReal(random_)) * 1000 / options_.requestsPerSecond;
+    reactor_.after(gapMs, [this, alive = alive_] {
+        if (*alive) scheduleArrivals();
     });
     if (!process_.running() || process_.startedAt() + 50 > reactor_.now()) return;
     if (!process_.ready() && !process_.stopping()) return;
-    const auto c = idleOrNew();
-    if (!c) return;
-    if (options_.injectFaults && chance(random_, 0.02)) return malformed(c);
-    ask(c, make());
-    if (!options_.injectFaults || c->open.empty() || !chance(random_, 0.05)) return;
-    auto behind = make();  // answered after the first, so it has to have as much time
-    if (behind.timeoutMs >= c->open.back().timeoutMs) ask(c, std::move(behind));
+    const auto connection = pickConnection();
+    if (!connection) return;
+    if (options_.injectFaults && chance(random_, 0.02)) return sendMalformedRequest(connection);
+    sendRequest(connection, makeRequest());
+    if (!options_.injectFaults || connection->pending.empty() || !chance(random_, 0.05)) return;
+    auto pipelined = makeRequest();  // is answered after the first request, so it needs at least as much time
+    if (pipelined.timeoutMs >= connection->pending.back().timeoutMs)
+        sendRequest(connection, std::move(pipelined));
 }
 
-Clients::Asked Clients::make() {
-    const auto& plans = options_.settings.classes;
+Clients::Request Clients::makeRequest() {
+    const auto& classes = options_.settings.classes;
     double draw = drawReal(random_);
-    const ClassSettings* plan = &plans.front();
-    for (const auto& one : plans) {
-        plan = &one;
-        if ((draw -= one.trafficShare) < 0) break;
+    const ClassSettings* requestClass = &classes.front();
+    for (const auto& candidate : classes) {
+        requestClass = &candidate;
+        if ((draw -= candidate.trafficShare) < 0) break;
     }
-    Asked asked;
+    Request request;
     char key[20];
     std::snprintf(key, sizeof key, "%016x", 1 + drawBelow(random_, 40));
-    asked.id = newRequestId();
-    asked.requestClass = plan->name;
-    const int little = drawBelow(random_, 50);  // some come with very little time
-    asked.timeoutMs = options_.injectFaults && little == 0
-                          ? drawBelow(random_, 20)
-                          : std::floor(plan->deadlineMs * (0.5 + 0.5 * drawReal(random_)));
+    request.id = newRequestId();
+    request.requestClass = requestClass->name;
+    const int timeoutDraw = drawBelow(random_, 50);  // one of 50 requests has hardly any time
+    request.timeoutMs = options_.injectFaults && timeoutDraw == 0
+                            ? drawBelow(random_, 20)
+                            : std::floor(requestClass->deadlineMs * (0.5 + 0.5 * drawReal(random_)));
     const bool limited = chance(random_, 0.3);
     const int cell = drawBelow(random_, options_.servers);
-    asked.cell = cell;
-    asked.limited = limited;
-    ClientRequest text;
-    text.method = plan->method;
-    if (plan->method == "PUT") text.body.assign(static_cast<std::size_t>(drawBelow(random_, 6000)), 'b');
-    text.requestClass = plan->name;
-    text.id = asked.id;
-    text.plan = limited ? "limited" : "open";
-    text.key = key;
-    text.timeoutMs = asked.timeoutMs;
-    text.volume =
+    request.cell = cell;
+    request.limited = limited;
+    ClientRequest fields;
+    fields.method = requestClass->method;
+    if (requestClass->method == "PUT")
+        fields.body.assign(static_cast<std::size_t>(drawBelow(random_, 6000)), 'b');
+    fields.requestClass = requestClass->name;
+    fields.id = request.id;
+    fields.plan = limited ? "limited" : "open";
+    fields.key = key;
+    fields.timeoutMs = request.timeoutMs;
+    fields.volume =
         std::string("00000000000000") + (limited ? "f" : "0") + std::to_string(1 + drawBelow(random_, 2));
-    text.units = 1 + drawBelow(random_, 3);
-    text.cell = cell;
-    text.hosts = options_.schedulers;
-    asked.text = formatRequest(text);
-    return asked;
+    fields.units = 1 + drawBelow(random_, 3);
+    fields.cell = cell;
+    fields.hosts = options_.schedulers;
+    request.text = formatRequest(fields);
+    return request;
 }
 
-Clients::ConnectionPtr Clients::idleOrNew() {
+Clients::ConnectionPtr Clients::pickConnection() {
     std::vector<ConnectionPtr> idle;
-    for (const auto& c : connections_)
-        if (c->ready && c->open.empty() && !c->left && !c->malformed && !c->busyWriting) idle.push_back(c);
+    for (const auto& connection : connections_)
+        if (connection->ready && connection->pending.empty() && !connection->disconnected &&
+            !connection->malformed && !connection->writingSlowly)
+            idle.push_back(connection);
     if (!idle.empty() && !chance(random_, 0.1))
         return idle[static_cast<std::size_t>(drawBelow(random_, static_cast<int>(idle.size())))];
     if (process_.stopping() && reactor_.now() > process_.stopRequestedAt() + kNewConnectionsAfterStopMs) {
         if (idle.empty()) return nullptr;
         return idle[static_cast<std::size_t>(drawBelow(random_, static_cast<int>(idle.size())))];
     }
-    return connections_.size() < kMostConnections ? dial() : nullptr;
+    return connections_.size() < kMaxConnections ? dial() : nullptr;
 }
 
 Clients::ConnectionPtr Clients::dial() {
-    auto c = std::make_shared<Connection>();
-    c->number = newConnectionNumber();
-    c->life = process_.incarnation();
-    c->link = reactor_.dial(process_.port());
-    c->port = c->link->localPort();
-    connections_.push_back(c);
-    const std::weak_ptr<Connection> weak = c;
-    c->link->onConnected = [weak] {
-        if (const auto l = weak.lock()) l->ready = true;
+    auto connection = std::make_shared<Connection>();
+    connection->number = newConnectionNumber();
+    connection->incarnation = process_.incarnation();
+    connection->tcp = reactor_.dial(process_.port());
+    connection->port = connection->tcp->localPort();
+    connections_.push_back(connection);
+    const std::weak_ptr<Connection> weak = connection;
+    connection->tcp->onConnected = [weak] {
+        if (const auto connection = weak.lock()) connection->ready = true;
     };
-    c->link->onData = [this, weak](std::string_view bytes) {
-        if (const auto l = weak.lock()) onData(l, bytes);
+    connection->tcp->onData = [this, weak](std::string_view bytes) {
+        if (const auto connection = weak.lock()) onData(connection, bytes);
     };
-    c->link->onEnd = [this, weak](TcpConnection::End how) {
-        if (const auto l = weak.lock()) onEnd(l, how);
+    connection->tcp->onEnd = [this, weak](TcpConnection::End how) {
+        if (const auto connection = weak.lock()) onEnd(connection, how);
     };
-    reactor_.after(kConnectMs, [this, alive = alive_, weak] {
-        const auto l = weak.lock();
-        if (!*alive || !l || l->ready) return;
-        l->link->close();
-        drop(l);
+    reactor_.after(kConnectTimeoutMs, [this, alive = alive_, weak] {
+        const auto connection = weak.lock();
+        if (!*alive || !connection || connection->ready) return;
+        connection->tcp->close();
+        remove(connection);
     });
-    return c;
+    return connection;
 }
 
-void Clients::ask(const ConnectionPtr& c, Asked asked) {
-    if (c->busyWriting || c->left) return;
-    if (options_.injectFaults && c->open.empty() && chance(random_, 0.04)) {
-        const auto text = asked.text;
-        c->busyWriting = true;
-        return writeSlowly(c, text, [this, c, asked = std::move(asked)]() mutable {
-            c->busyWriting = false;
-            c->written -= asked.text.size();  // counted by sent()
-            sent(c, std::move(asked));
+void Clients::sendRequest(const ConnectionPtr& connection, Request request) {
+    if (connection->writingSlowly || connection->disconnected) return;
+    if (options_.injectFaults && connection->pending.empty() && chance(random_, 0.04)) {
+        const auto text = request.text;
+        connection->writingSlowly = true;
+        return writeInPieces(connection, text, [this, connection, request = std::move(request)]() mutable {
+            connection->writingSlowly = false;
+            connection->bytesWritten -= request.text.size();  // onRequestSent() counts them
+            onRequestSent(connection, std::move(request));
         });
     }
-    c->link->write(asked.text);
-    sent(c, std::move(asked));
+    connection->tcp->write(request.text);
+    onRequestSent(connection, std::move(request));
 }
 
-void Clients::writeSlowly(const ConnectionPtr& c, std::string rest, std::function<void()> then) {
-    if (!c->link->open() || c->left) return;
-    const auto n = std::min<std::size_t>(rest.size(), 1 + static_cast<std::size_t>(drawBelow(random_, 300)));
-    c->link->write(rest.substr(0, n));
-    c->written += n;
-    if (n == rest.size()) return then();
+void Clients::writeInPieces(const ConnectionPtr& connection, std::string rest, std::function<void()> onDone) {
+    if (!connection->tcp->open() || connection->disconnected) return;
+    const auto count =
+        std::min<std::size_t>(rest.size(), 1 + static_cast<std::size_t>(drawBelow(random_, 300)));
+    connection->tcp->write(rest.substr(0, count));
+    connection->bytesWritten += count;
+    if (count == rest.size()) return onDone();
     reactor_.after(drawReal(random_) * 60,
-                   [this, alive = alive_, c, rest = rest.substr(n), then = std::move(then)] {
-                       if (*alive) writeSlowly(c, rest, then);
+                   [this, alive = alive_, connection, rest = rest.substr(count), onDone = std::move(onDone)] {
+                       if (*alive) writeInPieces(connection, rest, onDone);
                    });
 }
 
-void Clients::sent(const ConnectionPtr& c, Asked asked) {
-    asked.at = reactor_.now();
-    c->written += asked.text.size();
-    asked.endOffset = c->written;
-    note(EventKind::RequestSent, c, &asked);
-    c->open.push_back(std::move(asked));
+void Clients::onRequestSent(const ConnectionPtr& connection, Request request) {
+    request.sentAt = reactor_.now();
+    connection->bytesWritten += request.text.size();
+    request.endOffset = connection->bytesWritten;
+    recordEvent(EventKind::RequestSent, connection, &request);
+    connection->pending.push_back(std::move(request));
     if (options_.injectFaults && chance(random_, 0.06))
-        reactor_.after(2 + drawReal(random_) * 400, [this, alive = alive_, c] {
-            if (*alive && !c->open.empty()) leave(c);
+        reactor_.after(2 + drawReal(random_) * 400, [this, alive = alive_, connection] {
+            if (*alive && !connection->pending.empty()) disconnect(connection);
         });
 }
 
-void Clients::onData(const ConnectionPtr& c, std::string_view bytes) {
+void Clients::onData(const ConnectionPtr& connection, std::string_view bytes) {
     using Got = wire::http::Parser::Got;
-    if (c->left) return;
+    if (connection->disconnected) return;
     std::string_view part;
-    for (;;) switch (c->parser.next(bytes, part)) {
+    for (;;) switch (connection->parser.next(bytes, part)) {
             case Got::More:
                 return;
             case Got::Head:
-                c->answering = true;
+                connection->answering = true;
                 break;
             case Got::Body:
-                c->body += part;
+                connection->body += part;
                 break;
             case Got::End:
-                onAnswer(c);
+                onResponse(connection);
                 if (bytes.empty()) return;
                 break;
             case Got::Bad:
-                return onEnd(c, TcpConnection::End::Reset);
+                return onEnd(connection, TcpConnection::End::Reset);
         }
 }
 
-void Clients::onAnswer(const ConnectionPtr& c) {
-    const int status = c->parser.head().status;
-    const auto body = std::exchange(c->body, {});
-    c->parser.reset();
-    c->answering = false;
-    if (c->malformed) {
-        note(EventKind::MalformedEnded, c, nullptr, status);
+void Clients::onResponse(const ConnectionPtr& connection) {
+    const int status = connection->parser.head().status;
+    const auto body = std::exchange(connection->body, {});
+    connection->parser.reset();
+    connection->answering = false;
+    if (connection->malformed) {
+        recordEvent(EventKind::MalformedEnded, connection, nullptr, status);
         return;
     }
-    if (c->open.empty()) return;
-    const auto asked = std::move(c->open.front());
-    c->open.pop_front();
-    ++c->answered;
-    note(EventKind::Answered, c, &asked, status, body.rfind("id:" + asked.id + ":", 0) == 0);
+    if (connection->pending.empty()) return;
+    const auto request = std::move(connection->pending.front());
+    connection->pending.pop_front();
+    ++connection->answered;
+    recordEvent(EventKind::Answered, connection, &request, status,
+                body.rfind("id:" + request.id + ":", 0) == 0);
 }
 
-void Clients::onEnd(const ConnectionPtr& c, TcpConnection::End how) {
-    if (c->left) return drop(c);
-    if (c->malformed) note(EventKind::MalformedEnded, c, nullptr);
-    if (c->answering && !c->open.empty()) {
-        note(EventKind::AnswerBroken, c, &c->open.front());
-        c->open.pop_front();
+void Clients::onEnd(const ConnectionPtr& connection, TcpConnection::End how) {
+    if (connection->disconnected) return remove(connection);
+    if (connection->malformed) recordEvent(EventKind::MalformedEnded, connection, nullptr);
+    if (connection->answering && !connection->pending.empty()) {
+        recordEvent(EventKind::AnswerBroken, connection, &connection->pending.front());
+        connection->pending.pop_front();
     }
-    const int port = c->port;
-    c->left = true;
-    const auto open = std::exchange(c->open, {});
-    // What the process has read of it is known once it can read no more.
-    reactor_.after(kLastReadWaitMs, [this, alive = alive_, c, open, port] {
+    const int port = connection->port;
+    connection->disconnected = true;
+    const auto pending = std::exchange(connection->pending, {});
+    // The number of bytes that the process has read is final once it can't read any more.
+    reactor_.after(kLastReadWaitMs, [this, alive = alive_, connection, pending, port] {
         if (!*alive) return;
-        const auto read = process_.control().bytesReadByPort[port].load();
-        for (const auto& asked : open)
-            note(EventKind::ConnectionEnded, c, &asked, 0, port > 0 && read >= asked.endOffset);
-    });
-    // A client that was closed under may go on resting for a while before it ends its own side.
-    reactor_.after(how == TcpConnection::End::Reset ? 0 : drawReal(random_) * 300, [this, alive = alive_, c] {
-        if (*alive) drop(c);
+        const auto bytesRead = process_.control().bytesReadByPort[port].load();
+        for (const auto& request : pending)
+            recordEvent(EventKind::ConnectionEnded, connection, &request, 0,
+                        port > 0 && bytesRead >= request.endOffset);
     });
+    // After an orderly end a client may keep its side of the connection open for a while.
+    reactor_.after(how == TcpConnection::End::Reset ? 0 : drawReal(random_) * 300,
+                   [this, alive = alive_, connection] {
+                       if (*alive) remove(connection);
+                   });
 }
 
-void Clients::leave(const ConnectionPtr& c) {
-    if (c->left) return;
-    c->left = true;
-    for (const auto& asked : c->open) note(EventKind::ClientLeft, c, &asked);
-    c->open.clear();
-    c->link->close();
-    drop(c);
+void Clients::disconnect(const ConnectionPtr& connection) {
+    if (connection->disconnected) return;
+    connection->disconnected = true;
+    for (const auto& request : connection->pending) recordEvent(EventKind::ClientLeft, connection, &request);
+    connection->pending.clear();
+    connection->tcp->close();
+    remove(connection);
 }
 
-void Clients::drop(const ConnectionPtr& c) {
-    c->link->close();
-    connections_.erase(std::remove(connections_.begin(), connections_.end(), c), connections_.end());
+void Clients::remove(const ConnectionPtr& connection) {
+    connection->tcp->close();
+    connections_.erase(std::remove(connections_.begin(), connections_.end(), connection), connections_.end());
 }
 
-void Clients::malformed(const ConnectionPtr& c) {
-    const auto good = make();
+void Clients::sendMalformedRequest(const ConnectionPtr& connection) {
+    const auto validRequest = makeRequest();
     std::string text;
     switch (drawBelow(random_, 6)) {
         case 0:
@@ -278,41 +287,42 @@
         case 3:
             text = "GET /nothing/known HTTP/1.1\r\nHost: x\r\nX-Request-ID: bad\r\n\r\n";
             break;
-        default:  // half a request, and the client stays
-            text = good.text.substr(0, 20 + static_cast<std::size_t>(drawBelow(random_, 60)));
+        default:  // half a request on a connection that stays open
+            text = validRequest.text.substr(0, 20 + static_cast<std::size_t>(drawBelow(random_, 60)));
     }
-    c->malformed = true;
-    c->link->write(text);
-    c->written += text.size();
-    note(EventKind::Malformed, c, nullptr);
+    connection->malformed = true;
+    connection->tcp->write(text);
+    connection->bytesWritten += text.size();
+    recordEvent(EventKind::Malformed, connection, nullptr);
 }
 
-void Clients::openIdleConnections(int count, double lastsMs) {
+void Clients::openIdleConnections(int count, double durationMs) {
     for (int i = 0; i < count; ++i) {
-        const auto link = reactor_.dial(process_.port());
-        const std::weak_ptr<TcpConnection> weak = link;
-        // Some rest after a question, the others say nothing.
+        const auto connection = reactor_.dial(process_.port());
+        const std::weak_ptr<TcpConnection> weak = connection;
+        // Every other connection sends one request first, the rest send nothing.
         if (i % 2)
-            link->onConnected = [weak] {
-                if (const auto l = weak.lock()) l->write("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+            connection->onConnected = [weak] {
+                if (const auto connection = weak.lock())
+                    connection->write("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
             };
-        link->onEnd = [weak](TcpConnection::End) {
-            if (const auto l = weak.lock()) l->close();
+        connection->onEnd = [weak](TcpConnection::End) {
+            if (const auto connection = weak.lock()) connection->close();
         };
-        crowd_.push_back(link);
+        idleConnections_.push_back(connection);
     }
-    reactor_.after(lastsMs, [this, alive = alive_] {
+    reactor_.after(durationMs, [this, alive = alive_] {
         if (*alive) closeIdleConnections();
     });
 }
 
 void Clients::closeIdleConnections() {
-    for (const auto& link : crowd_) link->close();
-    crowd_.clear();
+    for (const auto& connection : idleConnections_) connection->close();
+    idleConnections_.clear();
 }
 
 void Clients::sendMalformedRequests(int count) {
-    for (int i = 0; i < count && process_.running(); ++i) malformed(dial());
+    for (int i = 0; i < count && process_.running(); ++i) sendMalformedRequest(dial());
 }
 
 }  // namespace spokewheel::soak
--- a/kit/soak/clients.hpp
+++ b/kit/soak/clients.hpp
@@ -1,5 +1,5 @@
-// The clients of one scheduler: usual ones that ask, wait, leave and rest, and such that send what can't be
-// read. Records what each saw on its socket.
+// The clients of one scheduler: clients that send requests at random times, wait, disconnect or stay idle,
+// and clients that send malformed requests. Records what each of them observes on its connection.
 #pragma once
 
 #include <deque>
@@ -23,47 +23,51 @@
     Clients(const Clients&) = delete;
     Clients& operator=(const Clients&) = delete;
 
-    // Asks at the options' rate until stop().
+    // Sends requests at the rate of the options, with exponentially distributed gaps, until stop().
     void start();
-    void stop() { asking_ = false; }
+    void stop() { sending_ = false; }
     void sendMalformedRequests(int count);
-    // Idle connections beside the usual ones, which fill the scheduler's descriptors, for a while.
-    void openIdleConnections(int count, double lastsMs);
+    // Opens idle connections beside the others, to use up the scheduler's descriptors, and closes them after
+    // `durationMs`.
+    void openIdleConnections(int count, double durationMs);
     void closeIdleConnections();
 
   private:
-    struct Asked {
+    struct Request {
         std::string id, requestClass, text;
-        double at = 0, timeoutMs = 0;
-        std::uint64_t endOffset = 0;  // of its last byte among those written to the connection
+        double sentAt = 0, timeoutMs = 0;
+        std::uint64_t endOffset = 0;  // number of bytes written to the connection up to its end
         int cell = -1;
         bool limited = false;
     };
     struct Connection {
-        int number = 0, life = 0, port = 0;  // port: of the client's side
-        TcpConnectionPtr link;
+        int number = 0, incarnation = 0,
+            port = 0;  // incarnation: of the scheduler process; port: the local one
+        TcpConnectionPtr tcp;
         wire::http::Parser parser{wire::http::Parser::Kind::Response};
         std::string body;
-        bool ready = false, left = false, malformed = false, busyWriting = false, answering = false;
-        std::uint64_t written = 0;
+        bool ready = false, disconnected = false, malformed = false, writingSlowly = false, answering = false;
+        std::uint64_t bytesWritten = 0;
         int answered = 0;
-        std::deque<Asked> open;
+        std::deque<Request> pending;  // sent, without a response so far; oldest first
     };
     using ConnectionPtr = std::shared_ptr<Connection>;
-    void arrive();
-    Asked make();
-    ConnectionPtr idleOrNew();
+    void scheduleArrivals();
+    Request makeRequest();
+    ConnectionPtr pickConnection();
     ConnectionPtr dial();
-    void ask(const ConnectionPtr& c, Asked asked);
-    void writeSlowly(const ConnectionPtr& c, std::string rest, std::function<void()> then);
-    void sent(const ConnectionPtr& c, Asked asked);
-    void onData(const ConnectionPtr& c, std::string_view bytes);
-    void onAnswer(const ConnectionPtr& c);
-    void onEnd(const ConnectionPtr& c, TcpConnection::End how);
-    void leave(const ConnectionPtr& c);
-    void malformed(const ConnectionPtr& c);
-    void drop(const ConnectionPtr& c);
-    void note(EventKind kind, const ConnectionPtr& c, const Asked* asked, int status = 0, bool flag = false);
+    void sendRequest(const ConnectionPtr& connection, Request request);
+    void writeInPieces(const ConnectionPtr& connection, std::string rest, std::function<void()> onDone);
+    void onRequestSent(const ConnectionPtr& connection, Request request);
+    void onData(const ConnectionPtr& connection, std::string_view bytes);
+    void onResponse(const ConnectionPtr& connection);
+    void onEnd(const ConnectionPtr& connection, TcpConnection::End how);
+    void disconnect(const ConnectionPtr& connection);
+    void sendMalformedRequest(const ConnectionPtr& connection);
+    void remove(const ConnectionPtr& connection);
+    // `flag`: Event::read of ConnectionEnded, Event::genuine of the other kinds.
+    void recordEvent(EventKind kind, const ConnectionPtr& connection, const Request* request, int status = 0,
+                     bool flag = false);
 
     Reactor& reactor_;
     Random& random_;
@@ -71,9 +75,9 @@
     SchedulerProcess& process_;
     int rank_;
     const Options& options_;
-    bool asking_ = false;
+    bool sending_ = false;
     std::vector<ConnectionPtr> connections_;
-    std::vector<TcpConnectionPtr> crowd_;
+    std::vector<TcpConnectionPtr> idleConnections_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/kit/soak/steady_clients.cpp
+++ b/kit/soak/steady_clients.cpp
@@ -7,7 +7,7 @@
 namespace spokewheel::soak {
 namespace {
 
-constexpr double kDialAgainMs = 20;
+constexpr double kRedialMs = 20;
 
 }  // namespace
 
@@ -23,25 +23,25 @@
 
 SteadyClients::~SteadyClients() {
     *alive_ = false;
-    for (const auto* list : {&clients_, &leaving_})
+    for (const auto* list : {&clients_, &finishing_})
         for (const auto& client : *list)
-            if (client->link) client->link->close();
+            if (client->connection) client->connection->close();
 }
 
 void SteadyClients::start() {
-    if (std::exchange(asking_, true)) return;
+    if (std::exchange(sending_, true)) return;
     for (int i = 0; i < volume_.clients; ++i) {
         clients_.push_back(std::make_shared<Client>());
-        dialSoon(clients_.back(), volume_.pauseMs * drawReal(random_));
+        dialAfter(clients_.back(), volume_.pauseMs * drawReal(random_));
     }
 }
 
 void SteadyClients::stop() {
-    asking_ = false;
+    sending_ = false;
     for (const auto& client : std::exchange(clients_, {})) {
-        client->leaving = true;
-        if (client->open) leaving_.push_back(client);
-        else if (client->link) client->link->close();
+        client->finishing = true;
+        if (client->pending) finishing_.push_back(client);
+        else if (client->connection) client->connection->close();
     }
 }
 
@@ -50,78 +50,80 @@
     return process_.ready();
 }
 
-void SteadyClients::dialSoon(const ClientPtr& client, double afterMs) {
-    reactor_.after(afterMs, [this, alive = alive_, client] {
-        if (!*alive || client->leaving) return;
+void SteadyClients::dialAfter(const ClientPtr& client, double delayMs) {
+    reactor_.after(delayMs, [this, alive = alive_, client] {
+        if (!*alive || client->finishing) return;
         if (process_.running() && mayDial()) dial(client);
-        else dialSoon(client, kDialAgainMs);
+        else dialAfter(client, kRedialMs);
     });
 }
 
 void SteadyClients::dial(const ClientPtr& client) {
-    client->connection = newConnectionNumber();
-    client->life = process_.incarnation();
-    client->link = reactor_.dial(process_.port());
-    client->port = client->link->localPort();
+    client->connectionNumber = newConnectionNumber();
+    client->incarnation = process_.incarnation();
+    client->connection = reactor_.dial(process_.port());
+    client->port = client->connection->localPort();
     client->parser.reset();
     client->body.clear();
-    client->written = 0;
-    client->answering = false;
+    client->bytesWritten = 0;
+    client->responding = false;
     const std::weak_ptr<Client> weak = client;
-    client->link->onConnected = [this, weak] {
-        if (const auto l = weak.lock()) ask(l);
+    client->connection->onConnected = [this, weak] {
+        if (const auto c = weak.lock()) sendRequest(c);
     };
-    client->link->onData = [this, weak](std::string_view bytes) {
-        if (const auto l = weak.lock()) onData(l, bytes);
+    client->connection->onData = [this, weak](std::string_view bytes) {
+        if (const auto c = weak.lock()) onData(c, bytes);
     };
-    client->link->onEnd = [this, weak](TcpConnection::End) {
-        if (const auto l = weak.lock()) onEnd(l);
+    client->connection->onEnd = [this, weak](TcpConnection::End) {
+        if (const auto c = weak.lock()) onEnd(c);
     };
 }
 
-void SteadyClients::askAfter(const ClientPtr& client, double afterMs) {
-    reactor_.after(afterMs, [this, alive = alive_, client, connection = client->connection] {
-        if (*alive && client->connection == connection && client->link->open()) ask(client);
+void SteadyClients::sendRequestAfter(const ClientPtr& client, double delayMs) {
+    reactor_.after(delayMs, [this, alive = alive_, client, connectionNumber = client->connectionNumber] {
+        if (*alive && client->connectionNumber == connectionNumber && client->connection->open())
+            sendRequest(client);
     });
 }
 
-void SteadyClients::ask(const ClientPtr& client) {
-    if (client->leaving) return client->link->close();
-    const auto& plans = options_.settings.classes;
-    const auto& plan = plans[static_cast<std::size_t>(drawBelow(random_, static_cast<int>(plans.size())))];
+void SteadyClients::sendRequest(const ClientPtr& client) {
+    if (client->finishing) return client->connection->close();
+    const auto& classes = options_.settings.classes;
+    const auto& requestClass =
+        classes[static_cast<std::size_t>(drawBelow(random_, static_cast<int>(classes.size())))];
     char key[20];
     std::snprintf(key, sizeof key, "%016x", 100 + drawBelow(random_, 4000));
-    ClientRequest text;
-    text.method = plan.method;
-    text.requestClass = plan.name;
-    text.id = newRequestId();
-    text.plan = volume_.planName();
-    text.key = key;
-    text.timeoutMs = plan.deadlineMs;
-    text.volume = volume_.id;
-    text.units = 1 + drawBelow(random_, volume_.maxUnits);
-    text.cell = drawBelow(random_, options_.servers);
-    text.hosts = volume_.hosts;
-    const auto bytes = formatRequest(text);
-    client->link->write(bytes);
-    client->written += bytes.size();
-    client->open =
-        Asked{text.id, plan.name, reactor_.now(), text.timeoutMs, text.units, text.cell, client->written};
-    record_(eventOf(EventKind::RequestSent, *client, *client->open));
+    ClientRequest fields;
+    fields.method = requestClass.method;
+    fields.requestClass = requestClass.name;
+    fields.id = newRequestId();
+    fields.plan = volume_.planName();
+    fields.key = key;
+    fields.timeoutMs = requestClass.deadlineMs;
+    fields.volume = volume_.id;
+    fields.units = 1 + drawBelow(random_, volume_.maxUnits);
+    fields.cell = drawBelow(random_, options_.servers);
+    fields.hosts = volume_.hosts;
+    const auto bytes = formatRequest(fields);
+    client->connection->write(bytes);
+    client->bytesWritten += bytes.size();
+    client->pending = Request{fields.id,    requestClass.name, reactor_.now(),      fields.timeoutMs,
+                              fields.units, fields.cell,       client->bytesWritten};
+    record_(makeEvent(EventKind::RequestSent, *client, *client->pending));
 }
 
-Event SteadyClients::eventOf(EventKind kind, const Client& client, const Asked& asked) const {
+Event SteadyClients::makeEvent(EventKind kind, const Client& client, const Request& request) const {
     Event event;
     event.kind = kind;
     event.at = reactor_.now();
     event.scheduler = rank_;
-    event.process = client.life;
-    event.connection = client.connection;
-    event.request = asked.id;
-    event.requestClass = asked.requestClass;
-    event.timeoutMs = asked.timeoutMs;
-    event.cell = asked.cell;
-    event.units = asked.units;
+    event.process = client.incarnation;
+    event.connection = client.connectionNumber;
+    event.request = request.id;
+    event.requestClass = request.requestClass;
+    event.timeoutMs = request.timeoutMs;
+    event.cell = request.cell;
+    event.units = request.units;
     event.limited = true;
     if (kind == EventKind::RequestSent) event.volume = volume_.id;
     return event;
@@ -134,54 +136,54 @@
             case Got::More:
                 return;
             case Got::Head:
-                client->answering = true;
+                client->responding = true;
                 break;
             case Got::Body:
                 client->body += part;
                 break;
             case Got::End:
-                onAnswer(client);
+                onResponse(client);
                 if (bytes.empty()) return;
                 break;
             case Got::Bad:
-                client->link->close();
+                client->connection->close();
                 return onEnd(client);
         }
 }
 
-void SteadyClients::onAnswer(const ClientPtr& client) {
+void SteadyClients::onResponse(const ClientPtr& client) {
     const int status = client->parser.head().status;
     const bool closes = client->parser.closes();
     const auto body = std::exchange(client->body, {});
     client->parser.reset();
-    client->answering = false;
-    if (!client->open) return;
-    const auto asked = *std::exchange(client->open, std::nullopt);
-    auto event = eventOf(EventKind::Answered, *client, asked);
+    client->responding = false;
+    if (!client->pending) return;
+    const auto request = *std::exchange(client->pending, std::nullopt);
+    auto event = makeEvent(EventKind::Answered, *client, request);
     event.status = status;
-    event.genuine = body.rfind("id:" + asked.id + ":", 0) == 0;
+    event.genuine = body.rfind("id:" + request.id + ":", 0) == 0;
     record_(event);
-    if (closes) return;  // the scheduler ends the connection
-    askAfter(client, status == 200 ? volume_.pauseMs : volume_.refusedPauseMs);
+    if (closes) return;  // the scheduler closes the connection
+    sendRequestAfter(client, status == 200 ? volume_.pauseMs : volume_.refusedPauseMs);
 }
 
 void SteadyClients::onEnd(const ClientPtr& client) {
-    client->link->close();
-    if (client->open) {
-        const auto asked = *std::exchange(client->open, std::nullopt);
-        if (client->answering) {
-            record_(eventOf(EventKind::AnswerBroken, *client, asked));
+    client->connection->close();
+    if (client->pending) {
+        const auto request = *std::exchange(client->pending, std::nullopt);
+        if (client->responding) {
+            record_(makeEvent(EventKind::AnswerBroken, *client, request));
         } else {
-            auto event = eventOf(EventKind::ConnectionEnded, *client, asked);
+            auto event = makeEvent(EventKind::ConnectionEnded, *client, request);
             reactor_.after(kLastReadWaitMs, [this, alive = alive_, event, port = client->port,
-                                             offset = asked.endOffset]() mutable {
+                                             offset = request.endOffset]() mutable {
                 if (!*alive) return;
                 event.read = port > 0 && process_.control().bytesReadByPort[port].load() >= offset;
                 record_(event);
             });
         }
     }
-    dialSoon(client, kDialAgainMs);
+    dialAfter(client, kRedialMs);
 }
 
 }  // namespace spokewheel::soak
--- a/kit/soak/steady_clients.hpp
+++ b/kit/soak/steady_clients.hpp
@@ -1,5 +1,6 @@
-// Clients of one limited volume at one scheduler, each on a connection that it keeps: it asks again as soon
-// as it is answered, so that the volume's demand stays at or over its limit. Records what they saw.
+// Closed-loop clients of one limited volume at one scheduler. Each keeps its connection and sends its next
+// request a fixed pause after the response to the last one, which keeps the volume's demand steady. Records
+// what they observe.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +19,7 @@
 
 class SteadyClients {
   public:
-    // All but `volume` outlive this object. Nobody asks before start().
+    // All arguments but `volume` must outlive this object. Nothing is sent before start().
     SteadyClients(Reactor& reactor, Random& random, EventSink record, SchedulerProcess& process, int rank,
                   const Options& options, BusyVolume volume);
     ~SteadyClients();
@@ -26,37 +27,37 @@
     SteadyClients& operator=(const SteadyClients&) = delete;
 
     void start();
-    // What is out is waited for; then each closes its connection.
+    // Clients with a pending request wait for its response, then close their connections.
     void stop();
-    // How many schedulers the volume's requests come through, as each request tells.
+    // The number of schedulers that the volume's requests come through, which each request states.
     void setHosts(int hosts) { volume_.hosts = hosts; }
 
   private:
-    struct Asked {
+    struct Request {
         std::string id, requestClass;
-        double at = 0, timeoutMs = 0;
+        double sentAt = 0, timeoutMs = 0;
         int units = 1, cell = 0;
-        std::uint64_t endOffset = 0;  // of its last byte among those written to the connection
+        std::uint64_t endOffset = 0;  // number of bytes written to the connection up to its end
     };
     struct Client {
-        int connection = 0, life = 0, port = 0;
-        TcpConnectionPtr link;
+        int connectionNumber = 0, incarnation = 0, port = 0;
+        TcpConnectionPtr connection;
         wire::http::Parser parser{wire::http::Parser::Kind::Response};
         std::string body;
-        std::optional<Asked> open;
-        std::uint64_t written = 0;
-        bool answering = false, leaving = false;
+        std::optional<Request> pending;
+        std::uint64_t bytesWritten = 0;
+        bool responding = false, finishing = false;
     };
     using ClientPtr = std::shared_ptr<Client>;
     bool mayDial() const;
-    void dialSoon(const ClientPtr& client, double afterMs);
+    void dialAfter(const ClientPtr& client, double delayMs);
     void dial(const ClientPtr& client);
-    void askAfter(const ClientPtr& client, double afterMs);
-    void ask(const ClientPtr& client);
+    void sendRequestAfter(const ClientPtr& client, double delayMs);
+    void sendRequest(const ClientPtr& client);
     void onData(const ClientPtr& client, std::string_view bytes);
-    void onAnswer(const ClientPtr& client);
+    void onResponse(const ClientPtr& client);
     void onEnd(const ClientPtr& client);
-    Event eventOf(EventKind kind, const Client& client, const Asked& asked) const;
+    Event makeEvent(EventKind kind, const Client& client, const Request& request) const;
 
     Reactor& reactor_;
     Random& random_;
@@ -65,8 +66,8 @@
     int rank_;
     const Options& options_;
     BusyVolume volume_;
-    bool asking_ = false;
-    std::vector<ClientPtr> clients_, leaving_;
+    bool sending_ = false;
+    std::vector<ClientPtr> clients_, finishing_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
