--- a/kit/soak/disk_server.cpp
+++ b/kit/soak/disk_server.cpp
@@ -8,21 +8,22 @@
 
 namespace {
 
-constexpr double kToldToleranceMs = 50;
-constexpr int kBacklog = 512;
-int nextAttempt = 0;
+constexpr double kAnnouncementToleranceMs = 50;  // no attempt counts as cold until then
+constexpr int kBacklogLength = 512;
+int lastAttemptNumber = 0;
 
-std::string valueIn(const std::string& list, const std::string& name) {
-    const auto at = list.find(name + "=");
-    if (at == list.npos) return "";
+std::string parameterOf(const std::string& parameters, const std::string& name) {
+    const auto at = parameters.find(name + "=");
+    if (at == parameters.npos) return "";
     const auto from = at + name.size() + 1;
-    return list.substr(from, list.find_first_of(",;", from) - from);
+    return parameters.substr(from, parameters.find_first_of(",;", from) - from);
 }
 std::string fieldOf(const wire::http::Head& head, const char* name) {
     const auto* value = head.find(name);
     return value ? *value : std::string();
 }
-std::string withLength(const std::string& status, const std::string& body, const std::string& fields = "") {
+std::string responseWithLength(const std::string& status, const std::string& body,
+                               const std::string& fields = "") {
     return "HTTP/1.1 " + status + "\r\n" + fields + "Content-Length: " + std::to_string(body.size()) +
            "\r\n\r\n" + body;
 }
@@ -31,97 +32,102 @@
 
 struct DiskServer::Session {
     int scheduler = -1;
-    TcpConnectionPtr link;
+    TcpConnectionPtr connection;
     wire::http::Parser parser{wire::http::Parser::Kind::Request};
     double firstByteAt = -1;
-    bool begun = false;  // the first byte of the present attempt was recorded
+    bool attemptBegun = false;  // the head of a request was received and recorded, but not yet its end
     Attempt attempt;
-    bool out = false;  // an attempt is not finished
+    bool attemptOpen = false;  // a request was received whole and its attempt is not finished
 };
 
 DiskServer::DiskServer(Reactor& reactor, Random& random, EventSink record, Identity identity,
-                       std::vector<int> ports, Settings setting)
+                       std::vector<int> ports, Settings settings)
     : reactor_(reactor),
       random_(random),
       record_(std::move(record)),
       identity_(std::move(identity)),
       ports_(std::move(ports)),
-      setting_(std::move(setting)) {
-    openDoors();
+      settings_(std::move(settings)) {
+    listenOnAllPorts();
 }
 
 DiskServer::~DiskServer() {
     *alive_ = false;
     for (const int port : ports_) reactor_.stopListening(port);
-    for (const auto& session : sessions_) session->link->reset();
+    for (const auto& session : sessions_) session->connection->reset();
 }
 
-void DiskServer::openDoors() {
+void DiskServer::listenOnAllPorts() {
     for (std::size_t i = 0; i < ports_.size(); ++i)
-        reactor_.listen(ports_[i],
-                        [this, i](TcpConnectionPtr link) { accept(static_cast<int>(i), std::move(link)); });
+        reactor_.listen(ports_[i], [this, i](TcpConnectionPtr connection) {
+            accept(static_cast<int>(i), std::move(connection));
+        });
 }
 
 void DiskServer::setMode(Mode mode) {
     if (mode == mode_) return;
     const auto before = std::exchange(mode_, mode);
     if (before == Mode::Unreachable) {
-        // Connections were never taken, and are reset once the machine is back.
+        // Connections made meanwhile were never accepted; they are reset once the machine is back.
         for (const int port : ports_) reactor_.stopListening(port);
         resetConnections(1);
     }
-    if (before == Mode::Crashed || before == Mode::Unreachable) openDoors();
+    if (before == Mode::Crashed || before == Mode::Unreachable) listenOnAllPorts();
     if (mode == Mode::Crashed) {
         for (const int port : ports_) reactor_.stopListening(port);
         resetConnections(1);
     }
-    holdDoors();
+    applyPartitions();
 }
 
-void DiskServer::holdDoors() {
+void DiskServer::applyPartitions() {
     for (std::size_t i = 0; i < ports_.size(); ++i)
-        reactor_.pauseAccepting(ports_[i], mode_ != Mode::Crashed && cut(static_cast<int>(i)));
-    for (const auto& session : sessions_) session->link->pauseReading(cut(session->scheduler));
+        reactor_.pauseAccepting(ports_[i], mode_ != Mode::Crashed && isPartitioned(static_cast<int>(i)));
+    for (const auto& session : sessions_)
+        session->connection->pauseReading(isPartitioned(session->scheduler));
 }
 
-void DiskServer::setPartitioned(int scheduler, bool isCut) {
-    if ((cutOff_.count(scheduler) > 0) == isCut) return;
-    if (isCut) cutOff_.insert(scheduler);
-    else cutOff_.erase(scheduler);
+void DiskServer::setPartitioned(int scheduler, bool partitioned) {
+    if ((partitioned_.count(scheduler) > 0) == partitioned) return;
+    if (partitioned) partitioned_.insert(scheduler);
+    else partitioned_.erase(scheduler);
     if (mode_ == Mode::Unreachable || mode_ == Mode::Crashed) return;
-    if (!isCut) {
+    if (!partitioned) {
         resetConnectionsOf(scheduler);
-        // What waits to be taken came over the cut: it goes with the door.
+        // Connections that wait to be accepted were made during the partition: closing the listener resets
+        // them.
         const int port = portFor(scheduler);
         reactor_.stopListening(port);
-        reactor_.listen(port,
-                        [this, scheduler](TcpConnectionPtr link) { accept(scheduler, std::move(link)); });
+        reactor_.listen(port, [this, scheduler](TcpConnectionPtr connection) {
+            accept(scheduler, std::move(connection));
+        });
     }
-    holdDoors();
+    applyPartitions();
 }
 
 void DiskServer::resetConnectionsOf(int scheduler) {
     const auto sessions = sessions_;
     for (const auto& session : sessions) {
         if (session->scheduler != scheduler) continue;
-        if (session->out) finish(session, session->attempt, "reset");
-        session->link->reset();
+        if (session->attemptOpen) finish(session, session->attempt, "reset");
+        session->connection->reset();
         sessions_.erase(std::remove(sessions_.begin(), sessions_.end(), session), sessions_.end());
     }
 }
 
-void DiskServer::setDropSyns(bool lose) {
-    if (mode_ != Mode::Serving) lose = false;
+void DiskServer::setDropSyns(bool drop) {
+    if (mode_ != Mode::Serving) drop = false;
     for (std::size_t i = 0; i < ports_.size(); ++i) {
-        reactor_.setBacklog(ports_[i], lose ? 0 : kBacklog);
-        if (!cut(static_cast<int>(i)) && mode_ != Mode::Crashed) reactor_.pauseAccepting(ports_[i], lose);
-        // A queue of length 0 holds one connection; those who come after it are not heard.
-        if (lose)
-            for (int n = 0; n < 2; ++n) fillers_.push_back(reactor_.dial(ports_[i]));
+        reactor_.setBacklog(ports_[i], drop ? 0 : kBacklogLength);
+        if (!isPartitioned(static_cast<int>(i)) && mode_ != Mode::Crashed)
+            reactor_.pauseAccepting(ports_[i], drop);
+        // A backlog of length 0 holds one connection; the kernel drops the SYN of any later one.
+        if (drop)
+            for (int n = 0; n < 2; ++n) backlogFillers_.push_back(reactor_.dial(ports_[i]));
     }
-    if (lose) return;
-    for (const auto& filler : fillers_) filler->close();
-    fillers_.clear();
+    if (drop) return;
+    for (const auto& filler : backlogFillers_) filler->close();
+    backlogFillers_.clear();
 }
 
 void DiskServer::restart() {
@@ -131,9 +137,9 @@
 }
 
 void DiskServer::startCold() {
-    startedAt_ = freeAt_ = reactor_.now();
+    startedAt_ = busyUntil_ = reactor_.now();
     ++starts_;
-    toldAt_.clear();
+    announcedAt_.clear();
     Event event;
     event.kind = EventKind::ServerStarted;
     event.at = startedAt_;
@@ -141,14 +147,14 @@
     record_(event);
 }
 
-void DiskServer::onStartAnnounced(int scheduler) { toldAt_.emplace(scheduler, reactor_.now()); }
+void DiskServer::onStartAnnounced(int scheduler) { announcedAt_.emplace(scheduler, reactor_.now()); }
 
 void DiskServer::resetConnections(double share) {
     const auto sessions = sessions_;
     for (const auto& session : sessions) {
         if (share < 1 && !chance(random_, share)) continue;
-        if (session->out) finish(session, session->attempt, "reset");
-        session->link->reset();
+        if (session->attemptOpen) finish(session, session->attempt, "reset");
+        session->connection->reset();
         sessions_.erase(std::remove(sessions_.begin(), sessions_.end(), session), sessions_.end());
     }
 }
@@ -156,85 +162,87 @@
 void DiskServer::closeIdleConnections(bool usedOnly) {
     const auto sessions = sessions_;
     for (const auto& session : sessions) {
-        if (session->out || session->begun || (usedOnly && session->attempt.number == 0)) continue;
-        session->link->close();
+        if (session->attemptOpen || session->attemptBegun || (usedOnly && session->attempt.number == 0))
+            continue;
+        session->connection->close();
         sessions_.erase(std::remove(sessions_.begin(), sessions_.end(), session), sessions_.end());
     }
 }
 
-void DiskServer::accept(int scheduler, TcpConnectionPtr link) {
+void DiskServer::accept(int scheduler, TcpConnectionPtr connection) {
     auto session = std::make_shared<Session>();
     session->scheduler = scheduler;
-    session->link = link;
+    session->connection = connection;
     sessions_.push_back(session);
     const std::weak_ptr<Session> weak = session;
-    link->onData = [this, weak](std::string_view bytes) {
-        if (const auto s = weak.lock()) onData(s, bytes);
+    connection->onData = [this, weak](std::string_view bytes) {
+        if (const auto session = weak.lock()) onData(session, bytes);
     };
-    link->onEnd = [this, weak](TcpConnection::End) {
-        const auto s = weak.lock();
-        if (!s) return;
-        if (s->out) finish(s, s->attempt, "called off");
-        s->link->close();
-        sessions_.erase(std::remove(sessions_.begin(), sessions_.end(), s), sessions_.end());
+    connection->onEnd = [this, weak](TcpConnection::End) {
+        const auto session = weak.lock();
+        if (!session) return;
+        if (session->attemptOpen) finish(session, session->attempt, "called off");
+        session->connection->close();
+        sessions_.erase(std::remove(sessions_.begin(), sessions_.end(), session), sessions_.end());
     };
-    // Nothing passes a cut, but the scheduler's own end of the attempt is when it gave it up.
-    link->onEndWhilePaused = [this, weak] {
-        if (const auto s = weak.lock(); s && s->out) finish(s, s->attempt, "called off");
+    // Nothing passes a partition, but the attempt ends when the scheduler gives it up.
+    connection->onEndWhilePaused = [this, weak] {
+        if (const auto session = weak.lock(); session && session->attemptOpen)
+            finish(session, session->attempt, "called off");
     };
-    if (cut(scheduler)) link->pauseReading(true);
+    if (isPartitioned(scheduler)) connection->pauseReading(true);
 }
 
-void DiskServer::onData(const SessionPtr& s, std::string_view bytes) {
+void DiskServer::onData(const SessionPtr& session, std::string_view bytes) {
     using Got = wire::http::Parser::Got;
     std::string_view part;
-    if (!s->begun) s->firstByteAt = reactor_.now();
-    for (;;) switch (s->parser.next(bytes, part)) {
+    if (!session->attemptBegun) session->firstByteAt = reactor_.now();
+    for (;;) switch (session->parser.next(bytes, part)) {
             case Got::More:
-                if (!s->begun || breakUploads_ == 0) return;
-                --breakUploads_;
-                s->link->reset();
-                sessions_.erase(std::remove(sessions_.begin(), sessions_.end(), s), sessions_.end());
+                if (!session->attemptBegun || uploadsToReset_ == 0) return;
+                --uploadsToReset_;
+                session->connection->reset();
+                sessions_.erase(std::remove(sessions_.begin(), sessions_.end(), session), sessions_.end());
                 return;
             case Got::Body:
                 break;
             case Got::Head: {
-                const auto& head = s->parser.head();
-                s->begun = true;
-                auto& a = s->attempt;
-                a = {};
-                a.number = ++nextAttempt;
-                a.scheduler = s->scheduler;
-                a.beganAt = s->firstByteAt;
-                a.request = fieldOf(head, "X-Request-ID");
-                a.requestClass = fieldOf(head, "X-Priority-Class");
-                a.limited = fieldOf(head, "X-Plan") != "open";
-                a.volume = valueIn(fieldOf(head, "X-IO"), "volume");
-                a.units = std::atof(valueIn(fieldOf(head, "X-IO"), "units").c_str());
-                a.key = valueIn(fieldOf(head, "Cookie"), "block");
-                a.timeoutMs = std::atof(fieldOf(head, "X-Timeout-Ms").c_str());
-                note(EventKind::AttemptBegan, a);
+                const auto& head = session->parser.head();
+                session->attemptBegun = true;
+                auto& attempt = session->attempt;
+                attempt = {};
+                attempt.number = ++lastAttemptNumber;
+                attempt.scheduler = session->scheduler;
+                attempt.beganAt = session->firstByteAt;
+                attempt.request = fieldOf(head, "X-Request-ID");
+                attempt.requestClass = fieldOf(head, "X-Priority-Class");
+                attempt.limited = fieldOf(head, "X-Plan") != "open";
+                attempt.volume = parameterOf(fieldOf(head, "X-IO"), "volume");
+                attempt.units = std::atof(parameterOf(fieldOf(head, "X-IO"), "units").c_str());
+                attempt.key = parameterOf(fieldOf(head, "Cookie"), "block");
+                attempt.timeoutMs = std::atof(fieldOf(head, "X-Timeout-Ms").c_str());
+                recordEvent(EventKind::AttemptBegan, attempt);
                 break;
             }
             case Got::End:
-                s->attempt.wholeAt = reactor_.now();
-                s->parser.reset();
-                s->begun = false;
-                onWhole(s);
+                session->attempt.receivedAt = reactor_.now();
+                session->parser.reset();
+                session->attemptBegun = false;
+                onRequestComplete(session);
                 if (bytes.empty()) return;
-                s->firstByteAt = reactor_.now();
+                session->firstByteAt = reactor_.now();
                 break;
             case Got::Bad:
-                s->link->reset();
+                session->connection->reset();
                 return;
         }
 }
 
-void DiskServer::note(EventKind kind, const Attempt& attempt, const std::string& words) {
+void DiskServer::recordEvent(EventKind kind, const Attempt& attempt, const std::string& detail) {
     Event event;
     event.kind = kind;
     event.at = kind == EventKind::AttemptBegan   ? attempt.beganAt
-               : kind == EventKind::AttemptWhole ? attempt.wholeAt
+               : kind == EventKind::AttemptWhole ? attempt.receivedAt
                                                  : reactor_.now();
     event.scheduler = attempt.scheduler;
     event.server = identity_.id;
@@ -246,90 +254,92 @@
     event.units = attempt.units;
     event.timeoutMs = attempt.timeoutMs;
     if (attempt.limited) event.volume = attempt.volume;
-    const auto told = toldAt_.find(attempt.scheduler);
-    event.cold = cold() && told != toldAt_.end() && event.at > told->second + kToldToleranceMs;
+    const auto announced = announcedAt_.find(attempt.scheduler);
+    event.cold =
+        cold() && announced != announcedAt_.end() && event.at > announced->second + kAnnouncementToleranceMs;
     event.ageMs = event.at - startedAt_;
-    event.detail = words;
+    event.detail = detail;
     record_(event);
 }
 
-void DiskServer::onWhole(const SessionPtr& s) {
-    s->out = true;
-    const Attempt attempt = s->attempt;
-    note(EventKind::AttemptWhole, attempt);
+void DiskServer::onRequestComplete(const SessionPtr& session) {
+    session->attemptOpen = true;
+    const Attempt attempt = session->attempt;
+    recordEvent(EventKind::AttemptWhole, attempt);
     if (mode_ == Mode::Hanging) return;
-    const bool full = freeAt_ > reactor_.now() + attempt.timeoutMs;
-    if (full || chance(random_, draining_ ? 0.5 : faulty_ ? 0.03 : 0)) {
-        note(EventKind::NotExecuted, attempt);
-        finish(s, attempt, "answered");
-        return say(s, withLength("503 Full", "", "X-Not-Processed: 1\r\n"));
+    const bool overloaded = busyUntil_ > reactor_.now() + attempt.timeoutMs;
+    if (overloaded || chance(random_, draining_ ? 0.5 : randomFaults_ ? 0.03 : 0)) {
+        recordEvent(EventKind::NotExecuted, attempt);
+        finish(session, attempt, "answered");
+        return send(session, responseWithLength("503 Full", "", "X-Not-Processed: 1\r\n"));
     }
     const double share =
-        std::min(1.0, setting_.coldShare + (1 - setting_.coldShare) * ageMs() / setting_.coldMs);
-    const double takes = instant_ ? 0 : 1000 * attempt.units / (setting_.serverUnitsPerS * share);
-    freeAt_ = std::max(freeAt_, reactor_.now()) + takes;
-    const std::weak_ptr<Session> weak = s;
-    reactor_.after(freeAt_ - reactor_.now(), [this, alive = alive_, weak, attempt, start = starts_] {
+        std::min(1.0, settings_.coldShare + (1 - settings_.coldShare) * ageMs() / settings_.coldMs);
+    const double durationMs = instant_ ? 0 : 1000 * attempt.units / (settings_.serverUnitsPerS * share);
+    busyUntil_ = std::max(busyUntil_, reactor_.now()) + durationMs;
+    const std::weak_ptr<Session> weak = session;
+    reactor_.after(busyUntil_ - reactor_.now(), [this, alive = alive_, weak, attempt, start = starts_] {
         if (!*alive || start != starts_ || mode_ == Mode::Hanging || mode_ == Mode::Crashed) return;
         if (const auto session = weak.lock();
-            session && session->out && session->attempt.number == attempt.number)
-            work(session, attempt);
-        else if (attempt.number % 2) note(EventKind::Executed, attempt);  // called off too late
+            session && session->attemptOpen && session->attempt.number == attempt.number)
+            execute(session, attempt);
+        else if (attempt.number % 2)
+            recordEvent(EventKind::Executed, attempt);  // half of the cancelled attempts run all the same
     });
 }
 
-void DiskServer::work(const SessionPtr& s, const Attempt& attempt) {
-    note(EventKind::Executed, attempt);
-    answer(s, attempt);
+void DiskServer::execute(const SessionPtr& session, const Attempt& attempt) {
+    recordEvent(EventKind::Executed, attempt);
+    respond(session, attempt);
 }
 
-// Passes bytes on as the network would: at times in two parts.
-void DiskServer::say(const SessionPtr& s, const std::string& bytes) {
-    if (cut(s->scheduler)) return;
-    if (bytes.size() < 2 || !chance(random_, 0.15)) return s->link->write(bytes);
-    const auto cut = 1 + static_cast<std::size_t>(drawBelow(random_, static_cast<int>(bytes.size()) - 1));
-    s->link->write(bytes.substr(0, cut));
-    const std::weak_ptr<TcpConnection> weak = s->link;
-    reactor_.after(drawReal(random_) * 8, [weak, rest = bytes.substr(cut)] {
-        if (const auto link = weak.lock()) link->write(rest);
+// Sends bytes as a network may deliver them: sometimes in two parts.
+void DiskServer::send(const SessionPtr& session, const std::string& bytes) {
+    if (isPartitioned(session->scheduler)) return;
+    if (bytes.size() < 2 || !chance(random_, 0.15)) return session->connection->write(bytes);
+    const auto split = 1 + static_cast<std::size_t>(drawBelow(random_, static_cast<int>(bytes.size()) - 1));
+    session->connection->write(bytes.substr(0, split));
+    const std::weak_ptr<TcpConnection> weak = session->connection;
+    reactor_.after(drawReal(random_) * 8, [weak, rest = bytes.substr(split)] {
+        if (const auto connection = weak.lock()) connection->write(rest);
     });
 }
 
-void DiskServer::finish(const SessionPtr& s, const Attempt& attempt, const char* how) {
-    if (!std::exchange(s->out, false)) return;
-    note(EventKind::AttemptEnded, attempt, how);
+void DiskServer::finish(const SessionPtr& session, const Attempt& attempt, const char* how) {
+    if (!std::exchange(session->attemptOpen, false)) return;
+    recordEvent(EventKind::AttemptEnded, attempt, how);
 }
 
-void DiskServer::answer(const SessionPtr& s, const Attempt& attempt) {
+void DiskServer::respond(const SessionPtr& session, const Attempt& attempt) {
     const std::string body = "id:" + attempt.request + ":" + identity_.id + ":" +
                              std::string(static_cast<std::size_t>(drawBelow(random_, 3000)), 'x');
-    const std::string good = withLength("200 OK", body);
-    const std::weak_ptr<TcpConnection> weak = s->link;
-    const int what = faulty_ ? drawBelow(random_, 100) : 99;
-    if (what < 2) {
-        finish(s, attempt, "answered");
-        return say(s, withLength("500 Oops", ""));
+    const std::string response = responseWithLength("200 OK", body);
+    const std::weak_ptr<TcpConnection> weak = session->connection;
+    const int behaviour = randomFaults_ ? drawBelow(random_, 100) : 99;
+    if (behaviour < 2) {
+        finish(session, attempt, "answered");
+        return send(session, responseWithLength("500 Oops", ""));
     }
-    if (what < 6) {  // cut without an answer, in it, or noise
-        finish(s, attempt, what == 4 ? "answered" : "cut");
-        if (what == 3) s->link->write(good.substr(0, good.size() / 2));
-        if (what == 4) return s->link->write("noise\r\n\r\n");
-        return what == 5 ? s->link->close() : s->link->reset();
+    if (behaviour < 6) {  // a reset, a reset after half a response, garbage, or a close
+        finish(session, attempt, behaviour == 4 ? "answered" : "cut");
+        if (behaviour == 3) session->connection->write(response.substr(0, response.size() / 2));
+        if (behaviour == 4) return session->connection->write("noise\r\n\r\n");
+        return behaviour == 5 ? session->connection->close() : session->connection->reset();
     }
-    finish(s, attempt, "answered");
-    if (what < 9) {  // without a length: the end of the connection is its end
-        s->link->write("HTTP/1.1 200 OK\r\n\r\n" + body);
-        return s->link->shutdownWrite();
+    finish(session, attempt, "answered");
+    if (behaviour < 9) {  // without Content-Length: the body ends with the connection
+        session->connection->write("HTTP/1.1 200 OK\r\n\r\n" + body);
+        return session->connection->shutdownWrite();
     }
-    if (what < 12) {  // a second copy, at once or some milliseconds late
-        s->link->write(good);
-        return reactor_.after(what == 9 ? 0 : 4 * drawReal(random_), [weak, good] {
-            if (const auto link = weak.lock()) link->write(good);
+    if (behaviour < 12) {  // a duplicate of the response, at once or a few milliseconds later
+        session->connection->write(response);
+        return reactor_.after(behaviour == 9 ? 0 : 4 * drawReal(random_), [weak, response] {
+            if (const auto connection = weak.lock()) connection->write(response);
         });
     }
-    if (what < 14) return say(s, "HTTP/1.1 102 Processing\r\n\r\n" + good);
-    say(s, good);
-    if (what < 17) s->link->shutdownWrite();  // closes without having said so
+    if (behaviour < 14) return send(session, "HTTP/1.1 102 Processing\r\n\r\n" + response);
+    send(session, response);
+    if (behaviour < 17) session->connection->shutdownWrite();  // closes without a Connection: close field
 }
 
 }  // namespace spokewheel::soak
--- a/kit/soak/disk_server.hpp
+++ b/kit/soak/disk_server.hpp
@@ -1,5 +1,6 @@
-// A disk server with one port for each scheduler, its work, its faults, and what it records. A port stands
-// for the relay between the two: it splits, delays, cuts and swallows what passes.
+// A disk server of the soak with one port for each scheduler: executes attempts at a limited rate, responds
+// with random faults, and records what it observes. A port stands for the network between the two: it splits,
+// delays, cuts and drops what passes.
 #pragma once
 
 #include <map>
@@ -22,12 +23,12 @@
     };
     enum class Mode {
         Serving,
-        Hanging,      // takes requests and never gets to them
-        Unreachable,  // the machine is cut off: nothing comes in or goes out
-        Crashed       // connections reset, new ones refused
+        Hanging,      // accepts requests and never executes them
+        Unreachable,  // partitioned from every scheduler
+        Crashed       // connections are reset, new ones refused
     };
     DiskServer(Reactor& reactor, Random& random, EventSink record, Identity identity, std::vector<int> ports,
-               Settings setting = {});
+               Settings settings = {});
     ~DiskServer();
     DiskServer(const DiskServer&) = delete;
     DiskServer& operator=(const DiskServer&) = delete;
@@ -38,27 +39,30 @@
     Mode mode() const { return mode_; }
     void setDraining(bool draining) { draining_ = draining; }
     bool draining() const { return draining_; }
-    // Whether a request that comes now can be served: it takes what comes, and is warm.
+    // Whether a request that arrives now can be served: it accepts requests, does not drain, and is warm.
     bool healthy() const { return mode_ == Mode::Serving && !draining_ && !cold(); }
-    // Whether some answers are spoilt, cut or refused; on by default.
-    void setRandomFaults(bool faulty) { faulty_ = faulty; }
-    // Answers at once, however much comes and however cold it is, so that nothing but the list slows a
-    // sender.
+    // Whether some responses are malformed, cut off or refusals. On by default.
+    void setRandomFaults(bool enabled) { randomFaults_ = enabled; }
+    // Responds at once, whatever its load and even while cold, so that only what the list says of it slows
+    // down a scheduler.
     void setInstant(bool instant) { instant_ = instant; }
-    // Nothing passes between it and the scheduler; connections are reset once the cut is over.
-    void setPartitioned(int scheduler, bool cut);
-    // While true, the first tries of new connections are lost; TCP makes them again a second later.
-    void setDropSyns(bool lose);
-    // The next requests are cut off with a reset once a part of them has come, so many.
-    void resetNextUploads(int many) { breakUploads_ = many; }
-    int uploadsToReset() const { return breakUploads_; }
-    // Starts anew, cold.
+    // While partitioned, nothing passes between it and the scheduler. Afterwards the connections are reset.
+    void setPartitioned(int scheduler, bool partitioned);
+    // While true, the first SYN of each new connection is dropped. TCP sends it again a second later.
+    void setDropSyns(bool drop);
+    // Resets the connections of the next `count` requests that arrive in several parts, after their first
+    // part.
+    void resetNextUploads(int count) { uploadsToReset_ = count; }
+    int uploadsToReset() const { return uploadsToReset_; }
+    // Crashes and starts again, cold.
     void restart();
+    // Begins the cold time and records a start, without a crash.
     void startCold();
+    // Resets this share of the connections, drawn at random.
     void resetConnections(double share);
-    // Connections without an open request; `usedOnly`: of those only such that have had one.
+    // Closes the connections without an open request; `usedOnly`: only those that have had one.
     void closeIdleConnections(bool usedOnly = false);
-    // From now on attempts of the scheduler count for the slow start, for it was told of it.
+    // The scheduler was sent the present start time. Its attempts are marked as cold from now on.
     void onStartAnnounced(int scheduler);
     double ageMs() const { return reactor_.now() - startedAt_; }
 
@@ -67,37 +71,39 @@
     using SessionPtr = std::shared_ptr<Session>;
     struct Attempt {
         int number = 0, scheduler = -1;
-        double beganAt = 0, wholeAt = 0, units = 0, timeoutMs = 0;
+        double beganAt = 0, receivedAt = 0, units = 0, timeoutMs = 0;
         std::string request, requestClass, volume, key;
         bool limited = false;
     };
-    void openDoors();
-    void holdDoors();
-    bool cut(int scheduler) const { return mode_ == Mode::Unreachable || cutOff_.count(scheduler) > 0; }
+    void listenOnAllPorts();
+    void applyPartitions();
+    bool isPartitioned(int scheduler) const {
+        return mode_ == Mode::Unreachable || partitioned_.count(scheduler) > 0;
+    }
     void resetConnectionsOf(int scheduler);
-    void accept(int scheduler, TcpConnectionPtr link);
+    void accept(int scheduler, TcpConnectionPtr connection);
     void onData(const SessionPtr& session, std::string_view bytes);
-    void onWhole(const SessionPtr& session);
-    void work(const SessionPtr& session, const Attempt& attempt);
-    void answer(const SessionPtr& session, const Attempt& attempt);
-    void say(const SessionPtr& session, const std::string& bytes);  // nothing over a cut
+    void onRequestComplete(const SessionPtr& session);
+    void execute(const SessionPtr& session, const Attempt& attempt);
+    void respond(const SessionPtr& session, const Attempt& attempt);
+    void send(const SessionPtr& session, const std::string& bytes);  // drops the bytes while partitioned
     void finish(const SessionPtr& session, const Attempt& attempt, const char* how);
-    void note(EventKind kind, const Attempt& attempt, const std::string& words = {});
-    bool cold() const { return ageMs() < setting_.coldMs; }
+    void recordEvent(EventKind kind, const Attempt& attempt, const std::string& detail = {});
+    bool cold() const { return ageMs() < settings_.coldMs; }
 
     Reactor& reactor_;
     Random& random_;
     EventSink record_;
     Identity identity_;
     std::vector<int> ports_;
-    Settings setting_;
+    Settings settings_;
     Mode mode_ = Mode::Serving;
-    bool draining_ = false, faulty_ = true, instant_ = false;
-    double startedAt_ = -1e12, freeAt_ = 0;
-    int starts_ = 0, breakUploads_ = 0;
-    std::set<int> cutOff_;
-    std::vector<TcpConnectionPtr> fillers_;  // of the queue of connections that nobody takes
-    std::map<int, double> toldAt_;           // scheduler: when it was told of the present start
+    bool draining_ = false, randomFaults_ = true, instant_ = false;
+    double startedAt_ = -1e12, busyUntil_ = 0;  // busyUntil_: end of the queued work
+    int starts_ = 0, uploadsToReset_ = 0;
+    std::set<int> partitioned_;                     // schedulers
+    std::vector<TcpConnectionPtr> backlogFillers_;  // fill the queues of connections to be accepted
+    std::map<int, double> announcedAt_;  // by scheduler: when the present start was announced to it
     std::vector<SessionPtr> sessions_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
