--- a/kit/soak/limit_scenario.hpp
+++ b/kit/soak/limit_scenario.hpp
@@ -1,6 +1,6 @@
-// Limited volumes under load in a soak run, and what happens to them: volumes drawn by seed, one scheduler
-// that is restarted in series, volumes whose requests move to other schedulers, messages between schedulers
-// that are lost.
+// Limited volumes under load in a soak run, and the faults that concern them, drawn from the seed: one
+// scheduler is restarted again and again, the requests of a volume move to other schedulers, messages between
+// schedulers are lost.
 #pragma once
 
 #include <cstddef>
@@ -11,28 +11,29 @@
 
 namespace spokewheel::soak {
 
-// Adds one to three volumes, asked for under, at or over their limit, and what happens to them.
-void drawLimitScenario(Settings& setting, std::uint64_t seed, int schedulers);
+// Adds to the settings one to three volumes with a demand below, at or above their limit, and the kinds of
+// faults that the run injects.
+void drawLimitScenario(Settings& settings, std::uint64_t seed, int schedulers);
 
-// The troubles of that kind in one run; they end with stop().
+// Injects these faults into one run, from start() to stop().
 class LimitFaultInjector {
   public:
-    // `world` outlives this object, and this object the run.
-    explicit LimitFaultInjector(Cluster& world);
+    // `cluster` must outlive this object, which must outlive the run.
+    explicit LimitFaultInjector(Cluster& cluster);
     void start();
-    void stop() { calm_ = true; }
+    void stop() { stopped_ = true; }
 
   private:
-    void restartSoon();
+    void scheduleRestart();
     void restart();
-    void strikeSoon();
-    void strike();
+    void scheduleFault();
+    void injectFault();
     void moveVolume();
-    void losePeerMessages(std::uint32_t permille, std::size_t everyNth, double lastsMs);
+    void dropPeerMessages(std::uint32_t permille, std::size_t everyNth, double durationMs);
 
-    Cluster& world_;
+    Cluster& cluster_;
     Random random_;
-    bool calm_ = false;
+    bool stopped_ = false;
 };
 
 }  // namespace spokewheel::soak
--- a/tests/gateway/limit_lives_test.cpp
+++ b/tests/gateway/limit_lives_test.cpp
@@ -1,5 +1,6 @@
-// A volume at its limit through real processes that are restarted in series, and through one scheduler after
-// another. The sum over all lives is held against the volume's store at the disk server.
+// A volume whose demand exceeds its limit, with real scheduler processes that are restarted again and again,
+// or with requests that move from one scheduler to the next. What the disk server receives from all processes
+// together must stay within the volume's token bucket: a process that starts must not bring a new burst.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -14,10 +15,11 @@
 namespace spokewheel::soak {
 namespace {
 
-// Four schedulers with peers and one sound disk server; one volume whose clients ask without pause.
+// Four schedulers that exchange peer messages, one disk server without faults, and one volume whose clients
+// send requests without pause.
 class LimitFleet : public ::testing::Test {
   protected:
-    void raise(const BusyVolume& volume) {
+    void startFleet(const BusyVolume& volume) {
         std::signal(SIGPIPE, SIG_IGN);
         options.schedulerBinary = SPOKEWHEEL_BIN "/spokewheeld";
         options.shimLibrary = SPOKEWHEEL_BIN "/spokewheel_faults.so";
@@ -26,54 +28,54 @@
         options.servers = 1;
         options.requestsPerSecond = 0;
         options.injectFaults = false;
-        options.logPipeBytes = 65536;  // the account of the volume stands there
+        options.logPipeBytes = 65536;  // the log holds the account of the volume's limit
         options.settings.busyVolumes = {volume};
         std::filesystem::create_directories(options.folder);
-        world = std::make_unique<Cluster>(options);
-        world->servers[0].server->setRandomFaults(false);
-        world->servers[0].server->setInstant(true);
-        world->start();
+        cluster = std::make_unique<Cluster>(options);
+        cluster->servers[0].server->setRandomFaults(false);
+        cluster->servers[0].server->setInstant(true);
+        cluster->start();
     }
     void TearDown() override {
-        world.reset();
-        if (!HasFailure()) std::filesystem::remove_all(options.folder);  // logs are kept for the search
+        cluster.reset();
+        if (!HasFailure()) std::filesystem::remove_all(options.folder);  // keeps the logs of a failed test
     }
     template <class Condition>
-    bool runUntil(double ms, Condition condition) {
-        for (const double until = world->reactor.now() + ms; !condition();) {
-            if (world->reactor.now() >= until) return false;
-            pass(5);
+    bool runUntil(double timeoutMs, Condition condition) {
+        for (const double deadline = cluster->reactor.now() + timeoutMs; !condition();) {
+            if (cluster->reactor.now() >= deadline) return false;
+            runFor(5);
         }
         return true;
     }
-    void pass(double ms) { world->reactor.runUntil(world->reactor.now() + ms); }
-    // Ends the process, by SIGTERM or SIGKILL, and starts it again so long after its end.
-    void restart(std::size_t scheduler, bool planned, double upAgainMs) {
-        auto& process = *world->processes[scheduler];
+    void runFor(double durationMs) { cluster->reactor.runUntil(cluster->reactor.now() + durationMs); }
+    // Ends the process with SIGTERM (planned) or SIGKILL, and starts it again `restartDelayMs` after its end.
+    void restart(std::size_t scheduler, bool planned, double restartDelayMs) {
+        auto& process = *cluster->processes[scheduler];
         if (planned) process.stop();
         else process.kill();
         ASSERT_TRUE(runUntil(8000, [&] { return !process.running(); }));
-        pass(upAgainMs);
-        world->startProcess(scheduler);
+        runFor(restartDelayMs);
+        cluster->startProcess(scheduler);
         ASSERT_TRUE(runUntil(8000, [&] { return process.ready(); }));
     }
     double served() const {
         double units = 0;
-        for (const auto& e : world->events)
-            if (e.kind == EventKind::Answered && e.status == 200) units += e.units;
+        for (const auto& event : cluster->events)
+            if (event.kind == EventKind::Answered && event.status == 200) units += event.units;
         return units;
     }
-    void expectKept() {
-        for (const auto& violation : checkRecord(world->events, requirementsOf(options.settings)))
-            ADD_FAILURE() << nameOf(violation.rule) << " at " << violation.at - world->startedAt << " ms, n"
+    void expectNoViolation() {
+        for (const auto& violation : checkRecord(cluster->events, requirementsOf(options.settings)))
+            ADD_FAILURE() << nameOf(violation.rule) << " at " << violation.at - cluster->startedAt << " ms, n"
                           << violation.scheduler << " " << violation.request << ": " << violation.detail;
     }
 
     Options options;
-    std::unique_ptr<Cluster> world;
+    std::unique_ptr<Cluster> cluster;
 };
 
-BusyVolume volumeAtItsLimit(int hosts, double burst) {
+BusyVolume volumeOverItsLimit(int hosts, double burst) {
     BusyVolume volume;
     volume.id = "00000003b4d60021";
     volume.limit = {20, burst, 4};
@@ -84,55 +86,57 @@
     return volume;
 }
 
-struct Lives {
+struct RestartCase {
     const char* name;
     bool planned;
     int hosts;
     double burst;
     int restarts;
-    double lifeMs;     // of each process, from when it is ready
-    double upAgainMs;  // after its end
+    double readyMsPerLife;  // how long each process runs after it became ready
+    double restartDelayMs;  // from the end of a process to the next start
 };
-void PrintTo(const Lives& lives, std::ostream* out) { *out << lives.name; }
+void PrintTo(const RestartCase& restartCase, std::ostream* out) { *out << restartCase.name; }
 
-class RestartsInSeries : public LimitFleet, public ::testing::WithParamInterface<Lives> {};
+class RestartsInSeries : public LimitFleet, public ::testing::WithParamInterface<RestartCase> {};
 
 TEST_P(RestartsInSeries, TakeNoVolumePastItsLimit) {
     const auto& param = GetParam();
-    const auto volume = volumeAtItsLimit(param.hosts, param.burst);
-    raise(volume);
-    double readyMs = 0;  // of the process that is restarted
+    const auto volume = volumeOverItsLimit(param.hosts, param.burst);
+    startFleet(volume);
+    double readyMs = 0;  // of all processes of the restarted scheduler
     for (int i = 0; i < param.restarts; ++i) {
-        pass(param.lifeMs);
-        readyMs += param.lifeMs;
-        restart(0, param.planned, param.upAgainMs);
+        runFor(param.readyMsPerLife);
+        readyMs += param.readyMsPerLife;
+        restart(0, param.planned, param.restartDelayMs);
         if (HasFatalFailure()) return;
     }
-    pass(param.lifeMs);
-    readyMs += param.lifeMs;
-    const double part = volume.limit.rate / param.hosts;
-    // Where a planned stop tells the process nothing, what it may not know was unspent is not asked for.
-    EXPECT_GT(served(), (param.planned ? 0.9 : 0.75) * part * readyMs / 1000);
-    world->stop();
-    expectKept();
+    runFor(param.readyMsPerLife);
+    readyMs += param.readyMsPerLife;
+    const double sharePerHost = volume.limit.rate / param.hosts;
+    // After a kill the next process can't know what was left unspent, so less service is required.
+    EXPECT_GT(served(), (param.planned ? 0.9 : 0.75) * sharePerHost * readyMs / 1000);
+    cluster->stop();
+    expectNoViolation();
 }
 
 INSTANTIATE_TEST_SUITE_P(Lives, RestartsInSeries,
-                         ::testing::Values(Lives{"PlannedOneHost", true, 1, 40, 6, 1500, 300},
-                                           Lives{"KilledOneHost", false, 1, 40, 8, 1500, 300},
-                                           Lives{"KilledAtOnceAgain", false, 1, 40, 12, 700, 50},
-                                           Lives{"KilledTwoHostsLargeBurst", false, 2, 100, 8, 1500, 300}));
+                         ::testing::Values(RestartCase{"PlannedOneHost", true, 1, 40, 6, 1500, 300},
+                                           RestartCase{"KilledOneHost", false, 1, 40, 8, 1500, 300},
+                                           RestartCase{"KilledAtOnceAgain", false, 1, 40, 12, 700, 50},
+                                           RestartCase{"KilledTwoHostsLargeBurst", false, 2, 100, 8, 1500,
+                                                       300}));
 
-// Its requests come through one scheduler, then through another that never saw it, then through a third.
+// The requests of a volume come through one scheduler, then through another that never served it, then
+// through a third.
 TEST_F(LimitFleet, AVolumeThatMovesTakesNoBurstAlong) {
-    raise(volumeAtItsLimit(1, 40));
+    startFleet(volumeOverItsLimit(1, 40));
     for (const int scheduler : {0, 1, 2}) {
-        world->moveVolume(0, {scheduler}, 1);
-        pass(4000);
+        cluster->moveVolume(0, {scheduler}, 1);
+        runFor(4000);
     }
     EXPECT_GT(served(), 0.9 * 20 * 12);
-    world->stop();
-    expectKept();
+    cluster->stop();
+    expectNoViolation();
 }
 
 }  // namespace
