--- a/apps/spokewheel.cpp
+++ b/apps/spokewheel.cpp
@@ -31,28 +31,31 @@
 
 int runBadDay(const std::string& script, std::uint64_t seed, int rounds, const std::string& bin) {
     spokewheel::config::ConfigErrors errors;
-    spokewheel::kit::BadDaySettings s;
-    s.bin = bin;
-    s.script = spokewheel::kit::readFaultScript(script, errors);
+    spokewheel::kit::BadDaySettings settings;
+    settings.bin = bin;
+    settings.script = spokewheel::kit::readFaultScript(script, errors);
     for (const auto& e : errors) std::fprintf(stderr, "%s\n", e.text().c_str());
     if (!errors.empty()) return 2;
     const auto name = "spokewheel-bad-day-" + std::to_string(getpid());
-    s.directory = (std::filesystem::temp_directory_path() / name).string();
-    s.seed = seed;
-    s.rounds = rounds;
-    s.progress = [](const std::string& message) {
+    settings.directory = (std::filesystem::temp_directory_path() / name).string();
+    settings.seed = seed;
+    settings.rounds = rounds;
+    settings.progress = [](const std::string& message) {
         std::printf("  %s\n", message.c_str());
         std::fflush(stdout);
     };
-    const auto r = spokewheel::kit::runBadDay(s);
-    std::printf("%s", spokewheel::kit::formatResults(r.rules, r.startUs).c_str());
+    const auto result = spokewheel::kit::runBadDay(settings);
+    std::printf("%s", spokewheel::kit::formatResults(result.rules, result.startUs).c_str());
     std::printf(
         "uploads: %zu of %zu ok, downloads: %zu of %zu, single reads: %zu of %zu; files with wrong content: "
         "%zu\n",
-        r.uploadsOk, r.uploads, r.downloadsOk, r.downloads, r.singleReadsOk, r.singleReads,
-        r.filesWithWrongContent);
-    if (!r.error.empty()) std::printf("records incomplete: %s\n", r.error.c_str());
-    return r.error.empty() && r.filesWithWrongContent == 0 && !spokewheel::kit::anyViolated(r.rules) ? 0 : 1;
+        result.uploadsOk, result.uploads, result.downloadsOk, result.downloads, result.singleReadsOk,
+        result.singleReads, result.filesWithWrongContent);
+    if (!result.error.empty()) std::printf("records incomplete: %s\n", result.error.c_str());
+    return result.error.empty() && result.filesWithWrongContent == 0 &&
+                   !spokewheel::kit::anyViolated(result.rules)
+               ? 0
+               : 1;
 }
 
 struct MatrixArguments {
@@ -94,11 +97,11 @@
                                   : "same result");
         return difference.empty() ? 0 : 1;
     }
-    const auto r = matrix.run(a.seed, a.rounds, print);
+    const auto result = matrix.run(a.seed, a.rounds, print);
     std::printf(
         "run: %zu, same result: %zu, known differences: %zu, unexpected differences: %zu, hung: %zu\n",
-        r.mixes, r.same, r.known, r.differences.size(), r.hung);
-    return r.differences.empty() ? 0 : 1;
+        result.mixes, result.same, result.known, result.differences.size(), result.hung);
+    return result.differences.empty() ? 0 : 1;
 }
 
 }  // namespace
--- a/kit/bad_day.cpp
+++ b/kit/bad_day.cpp
@@ -100,8 +100,8 @@
     const char* volumeOf(std::size_t operation) const { return operation % 3 ? "maps/" : "narrow/"; }
 
     void uploadRepeatedly(int rank) {
-        for (std::size_t n = 0; !stopping_; ++n) {
-            const auto name = "h" + std::to_string(rank) + "-" + std::to_string(n);
+        for (std::size_t operation = 0; !stopping_; ++operation) {
+            const auto name = "h" + std::to_string(rank) + "-" + std::to_string(operation);
             const auto file = settings_.directory + "/" + name;
             writeFile(file, contentOf(name));
             // A client whose host is down or refused it retries at the next host.
@@ -109,7 +109,7 @@
             for (int host = rank, tries = 0; tries < 3 && !ok && !stopping_;
                  ++tries, host = (host + 1) % settings_.script.hosts) {
                 ++uploads_;
-                ok = fleet_.rsync({"-t", file, fleet_.url(host, volumeOf(n))}, 20).status == 0;
+                ok = fleet_.rsync({"-t", file, fleet_.url(host, volumeOf(operation))}, 20).status == 0;
                 uploadsOk_ += ok;
             }
             fs::remove(file);
@@ -120,10 +120,11 @@
     void downloadRepeatedly(int rank, int folderNumber) {
         const bool inBurst = folderNumber >= kFirstBurstClient;
         const auto folder = settings_.directory + "/down" + std::to_string(folderNumber);
-        for (std::size_t n = 0; !stopping_ && !(inBurst && burstEnding_); ++n) {
+        for (std::size_t operation = 0; !stopping_ && !(inBurst && burstEnding_); ++operation) {
             ++downloads_;
             const auto result = fleet_.rsync(
-                {"-rt", "--timeout=20", fleet_.url(rank, volumeOf(n)) + "f" + std::to_string(n % 6) + "*",
+                {"-rt", "--timeout=20",
+                 fleet_.url(rank, volumeOf(operation)) + "f" + std::to_string(operation % 6) + "*",
                  folder + "/"},
                 40);
             downloadsOk_ += result.status == 0;
@@ -138,18 +139,19 @@
         }
     }
     void readRepeatedly(int rank) {
-        for (std::size_t n = 0; !stopping_; ++n) try {
-                RsyncClient client(fleet_.rsyncPort(rank), volumeOf(n), 10);
+        for (std::size_t session = 0; !stopping_; ++session) try {
+                RsyncClient client(fleet_.rsyncPort(rank), volumeOf(session), 10);
                 if (!client.ready()) throw std::runtime_error("file list not received");
-                for (std::size_t i = 0; i < client.files().size() && i < 30 && !stopping_; ++i) {
-                    if (!client.files()[i].isFile()) continue;
+                for (std::size_t index = 0; index < client.files().size() && index < 30 && !stopping_;
+                     ++index) {
+                    if (!client.files()[index].isFile()) continue;
                     TraceRecord record;
                     record.kind = TraceRecord::Kind::ClientRequested;
                     record.host = std::to_string(rank);
-                    record.request =
-                        "client" + std::to_string(rank) + "-" + std::to_string(n) + "-" + std::to_string(i);
+                    record.request = "client" + std::to_string(rank) + "-" + std::to_string(session) + "-" +
+                                     std::to_string(index);
                     record.timeToAnswerMs = kMaxWaitMs + kViewDeadlineMs;
-                    const auto result = client.fetch(static_cast<std::int32_t>(i));
+                    const auto result = client.fetch(static_cast<std::int32_t>(index));
                     record.timeUs = result.requestedUs;
                     addRecord(record);
                     ++singleReads_;
@@ -161,7 +163,8 @@
                     addRecord(record);
                     const bool ok = result.outcome == RsyncClient::FetchResult::Outcome::Content;
                     singleReadsOk_ += ok;
-                    if (ok && result.content != contentOf(client.files()[i].name)) ++filesWithWrongContent_;
+                    if (ok && result.content != contentOf(client.files()[index].name))
+                        ++filesWithWrongContent_;
                 }
             } catch (const std::exception&) {  // the host is down: retries
                 waitUntil(0.1, [this] { return stopping_.load(); });
--- a/kit/trace_checker.cpp
+++ b/kit/trace_checker.cpp
@@ -12,6 +12,7 @@
 
 using Kind = TraceRecord::Kind;
 
+// In order of the rule numbers, which begin with 1.
 const char* kRuleNames[] = {"one final answer", "no double effect", "drains",           "cold nodes",
                             "order per key",    "attempt budget",   "limits per volume"};
 
@@ -56,9 +57,10 @@
         const auto found = parameters_.classes.find(record.requestClass);
         return found == parameters_.classes.end() ? nullptr : &found->second;
     }
-    bool hostKilledBetween(const std::string& host, std::int64_t from, std::int64_t to) const {
-        return std::any_of(records_.begin(), records_.end(), [&](const TraceRecord& r) {
-            return r.kind == Kind::HostKilled && r.host == host && r.timeUs >= from && r.timeUs <= to;
+    bool hostKilledBetween(const std::string& host, std::int64_t fromUs, std::int64_t toUs) const {
+        return std::any_of(records_.begin(), records_.end(), [&](const TraceRecord& record) {
+            return record.kind == Kind::HostKilled && record.host == host && record.timeUs >= fromUs &&
+                   record.timeUs <= toUs;
         });
     }
 
@@ -67,27 +69,29 @@
     void checkAnswers() {
         std::map<std::string, const TraceRecord*> requested;
         std::set<std::string> answered, served;
-        for (const auto& r : records_) {
-            if (r.kind == Kind::ClientRequested) requested[r.request] = &r;
-            if (r.kind == Kind::ClientAnswered) {
+        for (const auto& record : records_) {
+            if (record.kind == Kind::ClientRequested) requested[record.request] = &record;
+            if (record.kind == Kind::ClientAnswered) {
                 countRecord(1);
-                const auto found = requested.find(r.request);
-                if (found == requested.end()) addViolation(1, r, "answered without a request");
-                else if (!answered.insert(r.request).second) addViolation(1, r, "answered a second time");
-                else if (r.timeUs - found->second->timeUs >
+                const auto found = requested.find(record.request);
+                if (found == requested.end()) addViolation(1, record, "answered without a request");
+                else if (!answered.insert(record.request).second)
+                    addViolation(1, record, "answered a second time");
+                else if (record.timeUs - found->second->timeUs >
                          1000 * (found->second->timeToAnswerMs + parameters_.answerGraceMs))
-                    addViolation(1, r,
-                                 "answered " + std::to_string((r.timeUs - found->second->timeUs) / 1000) +
+                    addViolation(1, record,
+                                 "answered " +
+                                     std::to_string((record.timeUs - found->second->timeUs) / 1000) +
                                      " ms after the request");
             }
-            if (r.kind == Kind::Arrived && served.count(r.request))
-                addViolation(1, r, "sent to a node after it was served");
-            if (r.kind == Kind::Answered && !r.detail.empty()) served.insert(r.request);
+            if (record.kind == Kind::Arrived && served.count(record.request))
+                addViolation(1, record, "sent to a node after it was served");
+            if (record.kind == Kind::Answered && !record.detail.empty()) served.insert(record.request);
         }
         const auto lastUs = records_.empty() ? 0 : records_.back().timeUs;
-        for (const auto& [request, record] : requested)
-            if (!answered.count(request) && !hostKilledBetween(record->host, record->timeUs, lastUs))
-                addViolation(1, *record, "not answered");
+        for (const auto& [request, unanswered] : requested)
+            if (!answered.count(request) && !hostKilledBetween(unanswered->host, unanswered->timeUs, lastUs))
+                addViolation(1, *unanswered, "not answered");
     }
 
     // A once request that may have run is not sent again, and it is executed once. An object that one request
@@ -96,21 +100,21 @@
         std::map<std::string, int> executions;
         std::map<std::string, std::set<int>> mayHaveRun;  // attempts by request
         std::map<std::string, std::string> storedBy;      // request by target
-        for (const auto& r : records_) {
-            const auto* requestClass = classOf(r);
+        for (const auto& record : records_) {
+            const auto* requestClass = classOf(record);
             if (!requestClass || !requestClass->once) continue;
-            if (r.kind == Kind::Arrived) {
+            if (record.kind == Kind::Arrived) {
                 countRecord(2);
-                if (!mayHaveRun[r.request].empty())
-                    addViolation(2, r, "sent again although an earlier attempt may have run");
-                mayHaveRun[r.request].insert(r.attempt);
+                if (!mayHaveRun[record.request].empty())
+                    addViolation(2, record, "sent again although an earlier attempt may have run");
+                mayHaveRun[record.request].insert(record.attempt);
             }
-            if (r.kind == Kind::Refused) mayHaveRun[r.request].erase(r.attempt);
-            if (r.kind == Kind::Executed && r.write) {
-                if (++executions[r.request] > 1) addViolation(2, r, "executed twice");
-                const auto stored = storedBy.emplace(r.target, r.request);
-                if (!stored.second && stored.first->second != r.request)
-                    addViolation(2, r, "stored an object that " + stored.first->second + " had stored");
+            if (record.kind == Kind::Refused) mayHaveRun[record.request].erase(record.attempt);
+            if (record.kind == Kind::Executed && record.write) {
+                if (++executions[record.request] > 1) addViolation(2, record, "executed twice");
+                const auto stored = storedBy.emplace(record.target, record.request);
+                if (!stored.second && stored.first->second != record.request)
+                    addViolation(2, record, "stored an object that " + stored.first->second + " had stored");
             }
         }
     }
@@ -118,40 +122,41 @@
     // Nothing is sent to a node later than the drain grace after it was listed as not ready.
     void checkDrains() {
         std::map<std::string, std::pair<std::int64_t, std::string>> notReady;  // since, state
-        for (const auto& r : records_) {
-            if (r.kind == Kind::NodeListed) {
-                if (r.detail == "ready") notReady.erase(r.node);
-                else notReady.emplace(r.node, std::make_pair(r.timeUs, r.detail));
+        for (const auto& record : records_) {
+            if (record.kind == Kind::NodeListed) {
+                if (record.detail == "ready") notReady.erase(record.node);
+                else notReady.emplace(record.node, std::make_pair(record.timeUs, record.detail));
             }
-            if (r.kind != Kind::Arrived) continue;
+            if (record.kind != Kind::Arrived) continue;
             countRecord(3);
-            const auto found = notReady.find(r.node);
-            if (found != notReady.end() && r.timeUs > found->second.first + 1000 * parameters_.drainGraceMs)
-                addViolation(3, r,
-                             "sent to " + r.node + " " +
-                                 std::to_string((r.timeUs - found->second.first) / 1000) +
+            const auto found = notReady.find(record.node);
+            if (found != notReady.end() &&
+                record.timeUs > found->second.first + 1000 * parameters_.drainGraceMs)
+                addViolation(3, record,
+                             "sent to " + record.node + " " +
+                                 std::to_string((record.timeUs - found->second.first) / 1000) +
                                  " ms after it was listed as " + found->second.second);
         }
     }
 
-    // The units that reach a cold node within the overload span stay below the overload factor times what it
-    // can complete at its age, or below the fixed allowance if that is larger.
+    // The units that reach a cold node within the overload span are at most the overload factor times what it
+    // can complete at its age, or the fixed allowance if that is larger.
     void checkColdNodes() {
         if (parameters_.coldMs <= 0) return;
         std::map<std::string, std::int64_t> restartedUs;
         std::map<std::string, std::deque<std::pair<std::int64_t, double>>> arrivals;  // time, units
-        for (const auto& r : records_) {
-            if (r.kind == Kind::TraceStart && r.detail == "again")
-                restartedUs[r.node] = r.timeUs, arrivals[r.node].clear();
-            const auto restarted = restartedUs.find(r.node);
-            if (r.kind != Kind::Arrived || restarted == restartedUs.end()) continue;
-            const double ageMs = static_cast<double>(r.timeUs - restarted->second) / 1000;
+        for (const auto& record : records_) {
+            if (record.kind == Kind::TraceStart && record.detail == "again")
+                restartedUs[record.node] = record.timeUs, arrivals[record.node].clear();
+            const auto restarted = restartedUs.find(record.node);
+            if (record.kind != Kind::Arrived || restarted == restartedUs.end()) continue;
+            const double ageMs = static_cast<double>(record.timeUs - restarted->second) / 1000;
             if (ageMs > parameters_.coldMs) continue;
             countRecord(4);
-            auto& window = arrivals[r.node];
-            window.emplace_back(r.timeUs, r.units);
+            auto& window = arrivals[record.node];
+            window.emplace_back(record.timeUs, record.units);
             while (window.front().first <
-                   r.timeUs - static_cast<std::int64_t>(1000 * parameters_.overloadSpanMs))
+                   record.timeUs - static_cast<std::int64_t>(1000 * parameters_.overloadSpanMs))
                 window.pop_front();
             double units = 0;
             for (const auto& [atUs, arrivedUnits] : window) units += arrivedUnits;
@@ -160,9 +165,9 @@
             const double overload = parameters_.overloadFactor * share * parameters_.nodeUnitsPerS *
                                     parameters_.overloadSpanMs / 1000;
             if (units > std::max(parameters_.coldUnits, overload))
-                addViolation(4, r,
+                addViolation(4, record,
                              std::to_string(static_cast<long>(units)) +
-                                 " units within the overload span at " + r.node + ", " +
+                                 " units within the overload span at " + record.node + ", " +
                                  std::to_string(static_cast<long>(ageMs)) + " ms after its start");
         }
     }
@@ -176,50 +181,51 @@
             std::int64_t settledUs = 0;
         };
         std::map<std::pair<std::string, std::int64_t>, KeyState> keys;  // by host and key
-        for (const auto& r : records_) {
-            if (r.kind == Kind::HostKilled)
+        for (const auto& record : records_) {
+            if (record.kind == Kind::HostKilled)
                 for (auto& [hostAndKey, state] : keys)
-                    if (hostAndKey.first == r.host) state = {};
-            const auto* requestClass = classOf(r);
-            if (!requestClass || !requestClass->inOrder || r.key < 0) continue;
-            auto& state = keys[{r.host, r.key}];
-            if (r.kind == Kind::Arrived) {
+                    if (hostAndKey.first == record.host) state = {};
+            const auto* requestClass = classOf(record);
+            if (!requestClass || !requestClass->inOrder || record.key < 0) continue;
+            auto& state = keys[{record.host, record.key}];
+            if (record.kind == Kind::Arrived) {
                 countRecord(5);
                 for (const auto& [request, attempts] : state.open)
-                    if (request != r.request && attempts > 0)
-                        addViolation(5, r, "sent while " + request + " of its key is open");
-                if (r.timeUs < state.settledUs && !state.open.count(r.request))
-                    addViolation(5, r, "sent within the settle time of its key");
-                ++state.open[r.request];
+                    if (request != record.request && attempts > 0)
+                        addViolation(5, record, "sent while " + request + " of its key is open");
+                if (record.timeUs < state.settledUs && !state.open.count(record.request))
+                    addViolation(5, record, "sent within the settle time of its key");
+                ++state.open[record.request];
             }
-            if (r.kind == Kind::Answered || r.kind == Kind::Refused || r.kind == Kind::EndedUnanswered) {
-                const auto found = state.open.find(r.request);
+            if (record.kind == Kind::Answered || record.kind == Kind::Refused ||
+                record.kind == Kind::EndedUnanswered) {
+                const auto found = state.open.find(record.request);
                 if (found != state.open.end() && --found->second <= 0) state.open.erase(found);
-                if (r.kind == Kind::EndedUnanswered)
-                    state.settledUs = r.timeUs + static_cast<std::int64_t>(1000 * parameters_.settleMs);
+                if (record.kind == Kind::EndedUnanswered)
+                    state.settledUs = record.timeUs + static_cast<std::int64_t>(1000 * parameters_.settleMs);
             }
         }
     }
 
-    // Per host, the attempts beyond the first of their request within the span stay below the floor plus the
+    // Per host, the attempts beyond the first of their request within the span are at most the floor plus the
     // share of the requests in the span.
     void checkRetryBudget() {
         if (parameters_.retryBudgetSpanMs <= 0) return;
         std::map<std::string, std::deque<std::int64_t>> requestTimes, retryTimes;  // by host
         std::set<std::string> known;
         const auto spanUs = static_cast<std::int64_t>(1000 * parameters_.retryBudgetSpanMs);
-        for (const auto& r : records_) {
-            if (r.kind != Kind::Arrived) continue;
+        for (const auto& record : records_) {
+            if (record.kind != Kind::Arrived) continue;
             countRecord(6);
-            auto &requests = requestTimes[r.host], &retries = retryTimes[r.host];
-            if (known.insert(r.request).second) requests.push_back(r.timeUs);
-            if (r.attempt > 0) retries.push_back(r.timeUs);
-            while (!requests.empty() && requests.front() < r.timeUs - spanUs) requests.pop_front();
-            while (!retries.empty() && retries.front() < r.timeUs - spanUs) retries.pop_front();
+            auto &requests = requestTimes[record.host], &retries = retryTimes[record.host];
+            if (known.insert(record.request).second) requests.push_back(record.timeUs);
+            if (record.attempt > 0) retries.push_back(record.timeUs);
+            while (!requests.empty() && requests.front() < record.timeUs - spanUs) requests.pop_front();
+            while (!retries.empty() && retries.front() < record.timeUs - spanUs) retries.pop_front();
             if (static_cast<double>(retries.size()) >
                 parameters_.retryBudgetFloor +
                     parameters_.retryBudgetShare * static_cast<double>(requests.size()))
-                addViolation(6, r,
+                addViolation(6, record,
                              std::to_string(retries.size()) + " retries within the span for " +
                                  std::to_string(requests.size()) + " requests");
         }
@@ -229,22 +235,24 @@
     void checkLimits() {
         std::map<std::int64_t, std::pair<double, std::int64_t>> buckets;  // by volume: level, refilled at
         std::set<std::string> charged;
-        for (const auto& r : records_) {
-            const auto volume = parameters_.volumes.find(r.volume);
-            if (r.kind != Kind::Arrived || volume == parameters_.volumes.end() || volume->second.limit <= 0)
+        for (const auto& record : records_) {
+            const auto volume = parameters_.volumes.find(record.volume);
+            if (record.kind != Kind::Arrived || volume == parameters_.volumes.end() ||
+                volume->second.limit <= 0)
                 continue;
-            if (!charged.insert(r.request).second) continue;
+            if (!charged.insert(record.request).second) continue;
             countRecord(7);
-            auto& bucket =
-                buckets.emplace(r.volume, std::make_pair(volume->second.burst, r.timeUs)).first->second;
-            bucket.first = std::min(
-                volume->second.burst,
-                bucket.first + volume->second.limit * static_cast<double>(r.timeUs - bucket.second) / 1e6);
-            bucket.second = r.timeUs;
-            bucket.first -= r.units;
+            auto& bucket = buckets.emplace(record.volume, std::make_pair(volume->second.burst, record.timeUs))
+                               .first->second;
+            bucket.first =
+                std::min(volume->second.burst,
+                         bucket.first +
+                             volume->second.limit * static_cast<double>(record.timeUs - bucket.second) / 1e6);
+            bucket.second = record.timeUs;
+            bucket.first -= record.units;
             if (bucket.first < -volume->second.slack - 1e-9)
-                addViolation(7, r,
-                             "volume " + std::to_string(r.volume) + " at a level of " +
+                addViolation(7, record,
+                             "volume " + std::to_string(record.volume) + " at a level of " +
                                  std::to_string(bucket.first) + " units");
         }
     }
