--- a/kit/soak/cluster.cpp
+++ b/kit/soak/cluster.cpp
@@ -128,9 +128,9 @@
     std::vector<int> ports;
     for (int i = 0; i < options.schedulers; ++i) ports.push_back(portSource.take());
     ServerEntry entry;
-    DiskServer::Identity place{"s-" + std::to_string(servers.size()), cell % 2 ? "b" : "a", cell};
+    DiskServer::Identity identity{"s-" + std::to_string(servers.size()), cell % 2 ? "b" : "a", cell};
     entry.server =
-        std::make_unique<DiskServer>(reactor, random, record_, place, std::move(ports), options.settings);
+        std::make_unique<DiskServer>(reactor, random, record_, identity, std::move(ports), options.settings);
     if (cold) {
         entry.server->startCold();
         entry.upSinceMs = wallClockMs();
@@ -141,9 +141,9 @@
 }
 
 void Cluster::announce(const ServerEntry& entry, const std::string& phase) {
-    const auto& place = entry.server->identity();
+    const auto& identity = entry.server->identity();
     for (std::size_t i = 0; i < agents.size(); ++i)
-        agents[i]->updateMember({place.id, place.zone, phase, place.cell,
+        agents[i]->updateMember({identity.id, identity.zone, phase, identity.cell,
                                  entry.server->portFor(static_cast<int>(i)), entry.upSinceMs, 0});
 }
 
@@ -202,7 +202,7 @@
 }
 
 void Cluster::clearSystemCallFaults(std::size_t i) {
-    for (auto& permille : processes[i]->control().ratePermille) permille.store(0);
+    for (auto& rate : processes[i]->control().ratePermille) rate.store(0);
 }
 
 void Cluster::clearFaults() {
--- a/kit/soak/scheduler_process.cpp
+++ b/kit/soak/scheduler_process.cpp
@@ -173,20 +173,21 @@
 
 void SchedulerProcess::pollReady() {
     if (pid_ <= 0 || ready_ || stopping_) return;
-    const auto link = reactor_.dial(ports_.clients);
+    const auto connection = reactor_.dial(ports_.clients);
     auto response = std::make_shared<std::string>();
-    const std::weak_ptr<TcpConnection> weak = link;
-    link->onConnected = [weak] {
+    const std::weak_ptr<TcpConnection> weak = connection;
+    connection->onConnected = [weak] {
         if (const auto open = weak.lock())
             open->write("GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
     };
-    link->onData = [this, alive = alive_, response, incarnation = incarnation_](std::string_view bytes) {
+    connection->onData = [this, alive = alive_, response,
+                          incarnation = incarnation_](std::string_view bytes) {
         *response += bytes;
         if (!*alive || ready_ || incarnation != incarnation_ || response->find("HTTP/1.1 200") != 0) return;
         ready_ = true;
         recordEvent(EventKind::ProcessReady);
     };
-    link->onEnd = [weak](TcpConnection::End) {
+    connection->onEnd = [weak](TcpConnection::End) {
         if (const auto open = weak.lock()) open->close();
     };
     reactor_.after(kReadyPollMs, [this, alive = alive_, weak, incarnation = incarnation_] {
--- a/tests/gateway/soak_scenario_test.cpp
+++ b/tests/gateway/soak_scenario_test.cpp
@@ -239,13 +239,13 @@
 // Idle connections use up the process's descriptors, so that new connections wait to be accepted as well.
 TEST_F(HoldUp, NorBesideACrowdOfIdleConnections) {
     startReady();
-    std::vector<TcpConnectionPtr> idleLinks;
+    std::vector<TcpConnectionPtr> idleConnections;
     for (int i = 0; i < 400; ++i) {
-        idleLinks.push_back(reactor.dial(process->port()));
+        idleConnections.push_back(reactor.dial(process->port()));
         if (i % 40 == 0) runFor(10);
     }
     runDelayed();
-    for (const auto& link : idleLinks) link->close();
+    for (const auto& connection : idleConnections) connection->close();
 }
 
 // Each connection to the server is established 120 to 240 ms after it was dialled. This time lies between the
@@ -337,14 +337,14 @@
     clients->start();
     runFor(300);
     for (int i = 0; i < 12; ++i) {
-        std::vector<TcpConnectionPtr> newLinks;
-        for (int n = 0; n < 5; ++n) newLinks.push_back(reactor.dial(process->port()));
+        std::vector<TcpConnectionPtr> newConnections;
+        for (int n = 0; n < 5; ++n) newConnections.push_back(reactor.dial(process->port()));
         runFor(static_cast<double>(i % 4) / 2);
         process->kill();
         startProcess();
         ASSERT_TRUE(runUntil(8000, [&] { return process->ready(); }));
         runFor(100);
-        for (const auto& link : newLinks) link->close();
+        for (const auto& connection : newConnections) connection->close();
     }
     clients->stop();
     runFor(2000);
@@ -404,28 +404,29 @@
 class ReconnectingClients : public Scenario {
   protected:
     void connect() {
-        const auto link = reactor.dial(process->port());
-        const std::weak_ptr<TcpConnection> weak = link;  // a callback that owned its link would keep it alive
+        const auto connection = reactor.dial(process->port());
+        // A callback that owned the connection would keep it alive.
+        const std::weak_ptr<TcpConnection> weak = connection;
         auto answered = std::make_shared<bool>(false);
-        link->onConnected = [this, weak] {
-            ClientRequest text;
-            text.method = "GET";
-            text.requestClass = options.settings.classes.front().name;
-            text.id = newRequestId();
-            text.plan = "basic";
-            text.key = "0000000000000007";
-            text.timeoutMs = options.settings.classes.front().deadlineMs;
-            text.volume = "00000000000000aa";
-            if (const auto open = weak.lock()) open->write(formatRequest(text));
+        connection->onConnected = [this, weak] {
+            ClientRequest request;
+            request.method = "GET";
+            request.requestClass = options.settings.classes.front().name;
+            request.id = newRequestId();
+            request.plan = "basic";
+            request.key = "0000000000000007";
+            request.timeoutMs = options.settings.classes.front().deadlineMs;
+            request.volume = "00000000000000aa";
+            if (const auto open = weak.lock()) open->write(formatRequest(request));
             ++sent;
         };
-        link->onData = [this, weak, answered](std::string_view) {
+        connection->onData = [this, weak, answered](std::string_view) {
             if (std::exchange(*answered, true)) return;
             ++received;
             if (const auto open = weak.lock()) open->close();
             connect();
         };
-        link->onEnd = [this, answered](TcpConnection::End) {
+        connection->onEnd = [this, answered](TcpConnection::End) {
             if (std::exchange(*answered, true) || !process->running()) return;
             ++closedUnanswered;
             reactor.after(5, [this] { connect(); });
@@ -490,20 +491,20 @@
     startReady();
     std::string received;
     double ended = 0;
-    const auto link = reactor.dial(process->port());
-    link->onData = [&](std::string_view bytes) { received += bytes; };
-    link->onEnd = [&](TcpConnection::End) { ended = reactor.now(); };
-    link->write("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+    const auto connection = reactor.dial(process->port());
+    connection->onData = [&](std::string_view bytes) { received += bytes; };
+    connection->onEnd = [&](TcpConnection::End) { ended = reactor.now(); };
+    connection->write("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
     ASSERT_TRUE(runUntil(2000, [&] { return received.find("HTTP/1.1 200") == 0; }));
     received.clear();
     const std::string request = "GET /ready HTTP/1.1\r\nHost: xxxxxxxxxxxxxxxxxxxxxxxxxxx\r\n\r\n";
     for (const char c : request) {
-        link->write(std::string(1, c));
+        connection->write(std::string(1, c));
         runFor(80);
     }
     EXPECT_TRUE(runUntil(1000, [&] { return received.find("HTTP/1.1 200") == 0; })) << received;
     received.clear();
-    link->write(request.substr(0, 20));
+    connection->write(request.substr(0, 20));
     const double stopped = reactor.now();
     EXPECT_TRUE(runUntil(8000, [&] { return ended > 0; }));
     EXPECT_EQ(received.find("HTTP/1.1 408"), 0u) << received;
@@ -516,16 +517,16 @@
     startReady();
     std::string received;
     bool ended = false;
-    const auto link = reactor.dial(process->port());
-    const int clientPort = link->localPort();
-    link->onData = [&](std::string_view bytes) { received += bytes; };
-    link->onEnd = [&](TcpConnection::End) { ended = true; };
+    const auto connection = reactor.dial(process->port());
+    const int clientPort = connection->localPort();
+    connection->onData = [&](std::string_view bytes) { received += bytes; };
+    connection->onEnd = [&](TcpConnection::End) { ended = true; };
     const std::string request = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
-    link->write(request);
+    connection->write(request);
     ASSERT_TRUE(runUntil(2000, [&] { return received.find("HTTP/1.1 200") == 0; }));
     process->stop();
     ASSERT_TRUE(runUntil(1800, [&] { return ended; }));
-    link->write(request);
+    connection->write(request);
     runFor(750);
     EXPECT_EQ(process->control().bytesReadByPort[clientPort].load(), request.size());
 }
