--- a/fuzz/http_fuzz.cpp
+++ b/fuzz/http_fuzz.cpp
@@ -1,4 +1,5 @@
-// The HTTP parser, whole and byte by byte: both must find the same.
+// Fuzzes the HTTP parser: its results for the whole input and for single bytes must be equal. Also
+// percent-encoding, ranges and digests.
 #include <cstdlib>
 
 #include "fuzz/driver.hpp"
@@ -8,29 +9,30 @@
 using namespace spokewheel::wire::http;
 
 namespace {
-std::string found(Parser::Kind kind, std::string_view all, std::size_t step) {
+// Parses the input in chunks of `step` bytes and returns the results as text.
+std::string parseInChunks(Parser::Kind kind, std::string_view all, std::size_t step) {
     Limits limits;
-    limits.head = 2048;
-    limits.body = 1 << 16;
-    Parser p(kind, limits);
+    limits.maxHeadBytes = 2048;
+    limits.maxBodyBytes = 1 << 16;
+    Parser parser(kind, limits);
     std::string out;
     for (std::size_t at = 0; at < all.size(); at += step) {
         auto in = all.substr(at, step);
         std::string_view body;
-        for (bool more = true; more;) switch (p.next(in, body)) {
-                case Parser::Got::More:
+        for (bool more = true; more;) switch (parser.next(in, body)) {
+                case Parser::Result::NeedMore:
                     more = false;
                     break;
-                case Parser::Got::Head:
-                    out += "\nH " + p.head().target + std::to_string(p.head().fields.size());
+                case Parser::Result::Head:
+                    out += "\nH " + parser.head().target + std::to_string(parser.head().fields.size());
                     break;
-                case Parser::Got::Body:
+                case Parser::Result::Body:
                     out += body;
                     break;
-                case Parser::Got::End:
-                    out += "\nE", p.reset();
+                case Parser::Result::End:
+                    out += "\nE", parser.reset();
                     break;
-                case Parser::Got::Bad:
+                case Parser::Result::Invalid:
                     return out + "\nB";
             }
     }
@@ -41,13 +43,16 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     const std::string_view text(reinterpret_cast<const char*>(data), size);
     for (const auto kind : {Parser::Kind::Request, Parser::Kind::Response})
-        if (found(kind, text, size + 1) != found(kind, text, 1)) std::abort();
-    if (const auto plain = unescape(text); plain && unescape(escape(*plain)) != plain) std::abort();
+        if (parseInChunks(kind, text, size + 1) != parseInChunks(kind, text, 1)) std::abort();
+    if (const auto decoded = percentDecode(text);
+        decoded && percentDecode(percentEncode(*decoded)) != decoded)
+        std::abort();
     parseRange(text);
-    // A value is taken as matching only where it holds the digest of the content.
-    const auto cut = text.substr(0, text.size() / 2), rest = text.substr(text.size() / 2);
-    const auto own = reprDigest(rest);
-    if (checkDigest(cut, rest) == Digest::Matches && cut.find(own.substr(9, 42)) == cut.npos) std::abort();
-    if (checkDigest(own, rest) != Digest::Matches) std::abort();
+    // A value matches only if it holds the digest of the content.
+    const auto value = text.substr(0, text.size() / 2), content = text.substr(text.size() / 2);
+    const auto own = reprDigest(content);
+    if (checkDigest(value, content) == DigestCheck::Matches && value.find(own.substr(9, 42)) == value.npos)
+        std::abort();
+    if (checkDigest(own, content) != DigestCheck::Matches) std::abort();
     return 0;
 }
--- a/fuzz/platform_fuzz.cpp
+++ b/fuzz/platform_fuzz.cpp
@@ -1,5 +1,5 @@
-// What comes to a scheduler of the platform: heads of clients and disk servers, lists, configurations. Each
-// is read or refused; what is read keeps its bounds.
+// Fuzzes the input of a scheduler on the platform: heads from clients and disk servers, node lists,
+// configurations. Each must be refused or decoded into values within their bounds.
 #include <cmath>
 #include <cstdlib>
 
@@ -14,50 +14,53 @@
 
 namespace {
 
-Settings settings() {
-    Settings s;
-    s.classes.resize(1);
-    s.classes[0].name = "read";
-    s.plans.resize(1);
-    s.plans[0].name = "open";
-    return s;
+Settings testSettings() {
+    Settings settings;
+    settings.classes.resize(1);
+    settings.classes[0].name = "read";
+    settings.plans.resize(1);
+    settings.plans[0].name = "open";
+    return settings;
 }
 
-void heads(std::string_view text, wire::http::Parser::Kind kind) {
-    static const auto known = settings();
+// Decodes `text` as the head of a request or response.
+void decodeHead(std::string_view text, wire::http::Parser::Kind kind) {
+    static const auto known = testSettings();
     static const auto dialect = platform::platformDialect({}, true);
     wire::http::Parser parser(kind);
     std::string_view body;
-    if (parser.next(text, body) != wire::http::Parser::Got::Head) return;
+    if (parser.next(text, body) != wire::http::Parser::Result::Head) return;
     if (kind == wire::http::Parser::Kind::Response) {
-        const auto read = dialect.interpret(parser.head());
-        if (!(read.usage >= 0) || !(read.othersGot >= 0) || !std::isfinite(read.usage)) std::abort();
-        if (read.outcome == Outcome::Served && parser.head().status != 200) std::abort();
+        const auto response = dialect.interpret(parser.head());
+        if (!(response.usage >= 0) || !(response.othersGot >= 0) || !std::isfinite(response.usage))
+            std::abort();
+        if (response.outcome == Outcome::Served && parser.head().status != 200) std::abort();
         return;
     }
-    const auto d = fronts::http::decodeRequest(parser.head(), known);
-    if (d.status) {
-        if (d.status < 400 || d.status > 499 || d.error.empty()) std::abort();
+    const auto decoded = fronts::http::decodeRequest(parser.head(), known);
+    if (decoded.status) {
+        if (decoded.status < 400 || decoded.status > 499 || decoded.error.empty()) std::abort();
         return;
     }
-    const auto& w = d.work;
-    if (w.requestClass != "read" || w.plan != "open" || d.id.empty() || !(w.units > 0) || w.shard < -1 ||
-        w.hosts < 1 || w.ttlMs < 0 || !w.nodeRequest || w.nodeRequest->target != parser.head().target)
+    const auto& work = decoded.work;
+    if (work.requestClass != "read" || work.plan != "open" || decoded.id.empty() || !(work.units > 0) ||
+        work.shard < -1 || work.hosts < 1 || work.ttlMs < 0 || !work.nodeRequest ||
+        work.nodeRequest->target != parser.head().target)
         std::abort();
 }
 
-// What the stream of the list service is taken for, in parts of `step` bytes.
-std::string framed(std::string_view text, std::size_t step) {
+// Splits a stream of the list service in chunks of `step` bytes and returns the results as text.
+std::string splitFrames(std::string_view text, std::size_t step) {
     using Event = registry::JsonFrames::Event;
-    constexpr std::size_t kMost = 512;
-    registry::JsonFrames frames(kMost);
+    constexpr std::size_t kMaxObjectBytes = 512;
+    registry::JsonFrames frames(kMaxObjectBytes);
     std::string out;
     for (std::size_t at = 0; at < text.size(); at += step) {
         auto in = text.substr(at, step);
-        for (auto got = frames.next(in); got != Event::NeedMore; got = frames.next(in)) {
-            if (got == Event::Invalid) return out + "!";
-            if (frames.object().size() > kMost) std::abort();
-            out += got == Event::BlankLine ? "|" : frames.object();
+        for (auto event = frames.next(in); event != Event::NeedMore; event = frames.next(in)) {
+            if (event == Event::Invalid) return out + "!";
+            if (frames.object().size() > kMaxObjectBytes) std::abort();
+            out += event == Event::BlankLine ? "|" : frames.object();
         }
     }
     return out;
@@ -67,17 +70,17 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     const std::string text(reinterpret_cast<const char*>(data), size);
-    heads(text, wire::http::Parser::Kind::Request);
-    heads(text, wire::http::Parser::Kind::Response);
-    const auto whole = framed(text, text.size() + 1);
+    decodeHead(text, wire::http::Parser::Kind::Request);
+    decodeHead(text, wire::http::Parser::Kind::Response);
+    const auto whole = splitFrames(text, text.size() + 1);
     for (const std::size_t step : {1, 7})
-        if (framed(text, step) != whole) std::abort();
+        if (splitFrames(text, step) != whole) std::abort();
     registry::Endpoints list;
-    std::string words;
-    if (registry::parseEndpoints(text, list, words)) {
+    std::string error;
+    if (registry::parseEndpoints(text, list, error)) {
         for (const auto& e : list.entries)
             if (e.node.empty() || e.shard < -1 || !(e.cameUpMs >= 0)) std::abort();
-    } else if (words.empty()) std::abort();
+    } else if (error.empty()) std::abort();
     try {
         platform::parseConfiguration(text, "file", {});
     } catch (const std::runtime_error&) {
--- a/kit/soak/clients.cpp
+++ b/kit/soak/clients.cpp
@@ -188,23 +188,23 @@
 }
 
 void Clients::onData(const ConnectionPtr& c, std::string_view bytes) {
-    using Got = wire::http::Parser::Got;
+    using Result = wire::http::Parser::Result;
     if (c->left) return;
     std::string_view part;
     for (;;) switch (c->parser.next(bytes, part)) {
-            case Got::More:
+            case Result::NeedMore:
                 return;
-            case Got::Head:
+            case Result::Head:
                 c->answering = true;
                 break;
-            case Got::Body:
+            case Result::Body:
                 c->body += part;
                 break;
-            case Got::End:
+            case Result::End:
                 onAnswer(c);
                 if (bytes.empty()) return;
                 break;
-            case Got::Bad:
+            case Result::Invalid:
                 return onEnd(c, Link::End::Reset);
         }
 }
--- a/kit/soak/disk_server.cpp
+++ b/kit/soak/disk_server.cpp
@@ -184,19 +184,19 @@
 }
 
 void DiskServer::onData(const SessionPtr& s, std::string_view bytes) {
-    using Got = wire::http::Parser::Got;
+    using Result = wire::http::Parser::Result;
     std::string_view part;
     if (!s->begun) s->firstByteAt = reactor_.now();
     for (;;) switch (s->parser.next(bytes, part)) {
-            case Got::More:
+            case Result::NeedMore:
                 if (!s->begun || breakUploads_ == 0) return;
                 --breakUploads_;
                 s->link->reset();
                 sessions_.erase(std::remove(sessions_.begin(), sessions_.end(), s), sessions_.end());
                 return;
-            case Got::Body:
+            case Result::Body:
                 break;
-            case Got::Head: {
+            case Result::Head: {
                 const auto& head = s->parser.head();
                 s->begun = true;
                 auto& a = s->attempt;
@@ -214,7 +214,7 @@
                 note(EventKind::AttemptBegan, a);
                 break;
             }
-            case Got::End:
+            case Result::End:
                 s->attempt.wholeAt = reactor_.now();
                 s->parser.reset();
                 s->begun = false;
@@ -222,7 +222,7 @@
                 if (bytes.empty()) return;
                 s->firstByteAt = reactor_.now();
                 break;
-            case Got::Bad:
+            case Result::Invalid:
                 s->link->reset();
                 return;
         }
--- a/kit/soak/steady_clients.cpp
+++ b/kit/soak/steady_clients.cpp
@@ -128,22 +128,22 @@
 }
 
 void SteadyClients::onData(const ClientPtr& client, std::string_view bytes) {
-    using Got = wire::http::Parser::Got;
+    using Result = wire::http::Parser::Result;
     std::string_view part;
     for (;;) switch (client->parser.next(bytes, part)) {
-            case Got::More:
+            case Result::NeedMore:
                 return;
-            case Got::Head:
+            case Result::Head:
                 client->answering = true;
                 break;
-            case Got::Body:
+            case Result::Body:
                 client->body += part;
                 break;
-            case Got::End:
+            case Result::End:
                 onAnswer(client);
                 if (bytes.empty()) return;
                 break;
-            case Got::Bad:
+            case Result::Invalid:
                 client->link->close();
                 return onEnd(client);
         }
@@ -151,7 +151,7 @@
 
 void SteadyClients::onAnswer(const ClientPtr& client) {
     const int status = client->parser.head().status;
-    const bool closes = client->parser.closes();
+    const bool closes = client->parser.closesConnection();
     const auto body = std::exchange(client->body, {});
     client->parser.reset();
     client->answering = false;
--- a/src/catalogue/file_version.cpp
+++ b/src/catalogue/file_version.cpp
@@ -11,8 +11,8 @@
 namespace spokewheel::catalogue {
 namespace {
 
-using wire::http::escape;
-using wire::http::unescape;
+using wire::http::percentDecode;
+using wire::http::percentEncode;
 
 template <class T>
 bool parseNumber(std::string_view text, T& value) {
@@ -40,7 +40,7 @@
     if (v.nsec) out += "&nsec=" + std::to_string(v.nsec);
     out += "&mode=" + std::to_string(v.mode) + "&version=" + std::to_string(v.version);
     if (!v.digest.empty()) out += "&digest=" + v.digest;
-    return out + "&path=" + escape(v.path, true);
+    return out + "&path=" + percentEncode(v.path, true);
 }
 
 std::optional<FileVersion> decode(std::string_view text) {
@@ -64,7 +64,7 @@
         else if (name == "version") valid = parseNumber(value, v.version);
         else if (name == "digest") valid = isHex(value, 32), v.digest = value;
         else if (name == "path") {
-            const auto path = unescape(value);
+            const auto path = percentDecode(value);
             valid = path.has_value();
             if (valid) v.path = *path;
         }  // unknown names come from later extensions of this format and are ignored
--- a/src/fronts/http/decode_request.cpp
+++ b/src/fronts/http/decode_request.cpp
@@ -57,7 +57,7 @@
     if (!first) return out;
     out.value = *first;
     for (const auto& [key, value] : head.fields)
-        if (wire::http::sameName(key, name) && value != *first) out.conflicting = true;
+        if (wire::http::equalsIgnoreCase(key, name) && value != *first) out.conflicting = true;
     return out;
 }
 
@@ -145,11 +145,11 @@
     for (const auto* dropped :
          {"Host", "Content-Length", "X-Request-ID", "X-Timeout-Ms", "Expect", "Connection", "Keep-Alive",
           "Proxy-Connection", "TE", "Trailer", "Transfer-Encoding", "Upgrade"})
-        if (wire::http::sameName(name, dropped)) return false;
+        if (wire::http::equalsIgnoreCase(name, dropped)) return false;
     for (const auto& [key, value] : head.fields) {
-        if (!wire::http::sameName(key, "Connection")) continue;
+        if (!wire::http::equalsIgnoreCase(key, "Connection")) continue;
         for (auto rest = std::string_view(value); !rest.empty();)
-            if (wire::http::sameName(nextToken(rest, ','), name)) return false;
+            if (wire::http::equalsIgnoreCase(nextToken(rest, ','), name)) return false;
     }
     return true;
 }
--- a/src/fronts/http/server.cpp
+++ b/src/fronts/http/server.cpp
@@ -171,7 +171,7 @@
 }
 
 void Server::parse(const SessionPtr& s, std::string_view bytes) {
-    using Got = wire::http::Parser::Got;
+    using Result = wire::http::Parser::Result;
     std::string_view body;
     while (s->connection->open()) {
         if (s->state.phase == Phase::Open) {
@@ -184,18 +184,18 @@
         if (s->state.phase == Phase::Closing) return;
         if (!bytes.empty() && s->state.phase != Phase::Receiving) enterPhase(*s, Phase::Receiving);
         switch (s->parser.next(bytes, body)) {
-            case Got::More:
+            case Result::NeedMore:
                 return;
-            case Got::Head:
+            case Result::Head:
                 if (!onHead(s)) return;
                 break;
-            case Got::Body:
+            case Result::Body:
                 s->body += body;
                 break;
-            case Got::End:
+            case Result::End:
                 onRequest(s);
                 break;
-            case Got::Bad:
+            case Result::Invalid:
                 return sendError(s, 400, s->parser.error());
         }
     }
@@ -211,7 +211,8 @@
         sendError(s, s->decoded.status, s->decoded.error);
         return false;
     }
-    if (const auto* expect = head.find("Expect"); expect && wire::http::sameName(*expect, "100-continue")) {
+    if (const auto* expect = head.find("Expect");
+        expect && wire::http::equalsIgnoreCase(*expect, "100-continue")) {
         s->connection->write("HTTP/1.1 100 Continue\r\n\r\n");
         s->connection->flush();
     }
@@ -219,7 +220,7 @@
 }
 
 void Server::onRequest(const SessionPtr& s) {
-    const bool last = s->parser.closes();
+    const bool last = s->parser.closesConnection();
     s->state.first = false;
     if (s->isReadinessCheck) return sendAnswer(s, reportsReady_ ? 200 : 503, {}, "", last);
     if (s->decoded.work.nodeRequest->method == "GET" && !s->body.empty())
@@ -249,7 +250,7 @@
 void Server::onAnswer(const SessionPtr& s, host::Answer a) {
     openRequestIds_.erase(s->decoded.id);
     s->hostRequestId.clear();
-    const bool last = s->parser.closes();
+    const bool last = s->parser.closesConnection();
     wire::http::Fields fields;
     switch (a.kind) {
         case host::Answer::Kind::Served:
@@ -286,7 +287,7 @@
     const bool more = !s->pipelined.empty() || s->connection->readable();
     last = last || ((draining_ || capacity() == Capacity::Exhausted) && !more);
     if (last) fields.emplace_back("Connection", "close");
-    s->connection->write(wire::http::writeResponse(status, fields, body.size()) + body);
+    s->connection->write(wire::http::responseHead(status, fields, body.size()) + body);
     s->connection->flush();
     s->parser.reset();
     s->body.clear();
--- a/src/nodes/node_client.cpp
+++ b/src/nodes/node_client.cpp
@@ -223,8 +223,8 @@
     dialect_.addFields(pending.label, pending.expiresAt - io::nowMs(), fields);
     const bool body = request.body != nullptr;
     link->connection->write(
-        wire::http::writeRequest(request.method, request.target, pending.node, fields,
-                                 body ? std::optional<std::uint64_t>(request.body->size()) : std::nullopt));
+        wire::http::requestHead(request.method, request.target, pending.node, fields,
+                                body ? std::optional<std::uint64_t>(request.body->size()) : std::nullopt));
     if (body) link->connection->write(*request.body);
     link->connection->flush();
     if (limits_.writeTimeoutMs <= 0 || link->connection->queued() == 0) return;
@@ -236,15 +236,15 @@
 }
 
 void NodeClient::onData(const LinkPtr& link, std::string_view bytes) {
-    using Got = wire::http::Parser::Got;
+    using Result = wire::http::Parser::Result;
     if (!link->attempt) return drop(link, LinkCloseReason::UsedByNode);  // a response to no request
     const auto id = link->attempt;
     auto& pending = *pending_.at(id);
     std::string_view body;
     for (;;) switch (link->parser.next(bytes, body)) {
-            case Got::More:
+            case Result::NeedMore:
                 return;
-            case Got::Head: {
+            case Result::Head: {
                 const auto& head = link->parser.head();
                 if (head.status < 200) {  // interim responses are skipped (RFC 9110, 15.2)
                     if (++link->interim > kMaxInterimResponses) return end(id, Outcome::ServerError, false);
@@ -257,27 +257,27 @@
                     dialect_.interpret(head).outcome != Outcome::Rejected)
                     return end(id, Outcome::NotSent, false);
                 // Too long: fails now, as it could go on for ever.
-                if (link->parser.remaining() > pending.request->maxResponseBytes)
+                if (link->parser.remainingBodyBytes() > pending.request->maxResponseBytes)
                     return end(id, Outcome::ServerError, false);
                 pending.result = dialect_.interpret(head);
                 pending.result.status = head.status;
                 pending.result.body.reserve(
-                    std::min<std::uint64_t>(link->parser.remaining(), kMaxReserveBytes));
+                    std::min<std::uint64_t>(link->parser.remainingBodyBytes(), kMaxReserveBytes));
                 break;
             }
-            case Got::Body:
+            case Result::Body:
                 if (pending.result.body.size() + body.size() > pending.request->maxResponseBytes ||
                     buffered_ + body.size() > limits_.maxBufferedBytes)
                     return end(id, Outcome::ServerError, false);
                 buffered_ += body.size();
                 pending.result.body += body;
                 break;
-            case Got::End: {
+            case Result::End: {
                 const bool early = link->connection->queued() > 0;  // the request is not written completely
-                const bool keep = !link->parser.closes() && bytes.empty() && !early;
+                const bool keep = !link->parser.closesConnection() && bytes.empty() && !early;
                 return end(id, pending.result.outcome, keep);
             }
-            case Got::Bad:
+            case Result::Invalid:
                 return end(id, Outcome::ServerError, false);
         }
 }
@@ -286,7 +286,8 @@
     const auto id = link->attempt;
     if (!id) return drop(link, LinkCloseReason::ByNode);
     // A response without a length ends with an orderly end of its connection, never with a reset.
-    if (why == io::DisconnectReason::ByPeer && link->parser.ended() == wire::http::Parser::Got::End)
+    if (why == io::DisconnectReason::ByPeer &&
+        link->parser.onEndOfStream() == wire::http::Parser::Result::End)
         return end(id, pending_.at(id)->result.outcome, false);
     const bool sent = why != io::DisconnectReason::ConnectFailed && mayHaveRun(*link);
     end(id, sent ? Outcome::ConnectionLost : Outcome::NoConnection, false);
--- a/src/registry/endpoint_watcher.cpp
+++ b/src/registry/endpoint_watcher.cpp
@@ -41,7 +41,7 @@
              if (!locked) return;
              std::string target = "/v1/endpoints?stream=1";
              if (watch_.resumeRevision() >= 0) target += "&index=" + std::to_string(watch_.resumeRevision());
-             locked->connection->write(wire::http::writeRequest("GET", target, locked->at.text(), {}, {}));
+             locked->connection->write(wire::http::requestHead("GET", target, locked->at.text(), {}, {}));
              locked->connection->flush();
          },
          [this, weak](std::string_view bytes) {
@@ -108,27 +108,27 @@
 }
 
 void EndpointWatcher::onData(const StreamPtr& stream, std::string_view bytes) {
-    using Got = wire::http::Parser::Got;
+    using Result = wire::http::Parser::Result;
     std::string_view part;
     for (;;) switch (stream->parser.next(bytes, part)) {
-            case Got::More:
+            case Result::NeedMore:
                 return;
-            case Got::Head:
+            case Result::Head:
                 if (stream->parser.head().status != 200)
                     return failed(stream, WatchFault::Status,
                                   "answered with status " + std::to_string(stream->parser.head().status));
                 stream->timeoutAt = io::nowMs() + WatchState::kSilentMs;
                 armNextAttempt();
                 break;
-            case Got::Body: {
+            case Result::Body: {
                 const auto size = part.size();
                 if (!onBody(stream, part)) return;
                 onProgress(stream, size);
                 break;
             }
-            case Got::End:
+            case Result::End:
                 return failed(stream, WatchFault::Closed, "ended the watch");
-            case Got::Bad:
+            case Result::Invalid:
                 return failed(stream, WatchFault::Unreadable,
                               "sent an invalid HTTP response: " + stream->parser.error());
         }
--- a/src/registry/node_list_poller.cpp
+++ b/src/registry/node_list_poller.cpp
@@ -69,7 +69,7 @@
     connection_ = io::Connection::dial(registry_);
     if (!connection_->open()) return failed("cannot connect to the registry");
     connection_->setHandler({[this] {
-                                 connection_->write(wire::http::writeRequest(
+                                 connection_->write(wire::http::requestHead(
                                      "GET",
                                      "/nodes?index=" + std::to_string(poll_.index()) +
                                          "&wait=" + std::to_string(static_cast<int>(PollState::kBlockMs)),
@@ -91,19 +91,19 @@
 }
 
 void NodeListPoller::onData(std::string_view bytes) {
-    using Got = wire::http::Parser::Got;
+    using Result = wire::http::Parser::Result;
     std::string_view part;
     for (;;) switch (parser_.next(bytes, part)) {
-            case Got::More:
+            case Result::NeedMore:
                 return;
-            case Got::Head:
+            case Result::Head:
                 break;
-            case Got::Body:
+            case Result::Body:
                 body_ += part;
                 break;
-            case Got::End:
+            case Result::End:
                 return onAnswer();
-            case Got::Bad:
+            case Result::Invalid:
                 return failed("registry: " + parser_.error());
         }
 }
--- a/src/wire/http/digest.hpp
+++ b/src/wire/http/digest.hpp
@@ -7,16 +7,17 @@
 
 namespace spokewheel::wire::http {
 
-// The value of Repr-Digest for this content.
+// The value of the Repr-Digest field for this content.
 std::string reprDigest(std::string_view content);
 
-enum class Digest {
-    Absent,   // no sha-256 in it: algorithms that are not spoken are passed over (RFC 9530, 2)
-    Matches,  // the content is what was told of
-    Differs,
-    Bad  // not a dictionary, or a sha-256 that can't be one
+enum class DigestCheck {
+    Absent,    // no sha-256 member; members of other algorithms are ignored (RFC 9530, 2)
+    Matches,   // the content has the stated digest
+    Differs,   // the content has another digest
+    Malformed  // not a dictionary, or its sha-256 member is no valid digest
 };
-// What the value of a Repr-Digest says of the content. Where a key comes twice the last one counts.
-Digest checkDigest(std::string_view value, std::string_view content);
+// Compares the content with the value of a Repr-Digest field. The last of several members with the same key
+// counts.
+DigestCheck checkDigest(std::string_view value, std::string_view content);
 
 }  // namespace spokewheel::wire::http
--- a/standins/http_server.cpp
+++ b/standins/http_server.cpp
@@ -20,7 +20,7 @@
     auto& c = clients_[id];
     c = std::make_unique<Client>();
     wire::http::Limits limits;
-    limits.body = mostBody_;
+    limits.maxBodyBytes = mostBody_;
     c->parser = Parser(Parser::Kind::Request, limits);
     c->connection = std::move(connection);
     c->connection->setHandler({{},
@@ -42,37 +42,38 @@
     }
     std::string_view body;
     for (;;) switch (c.parser.next(bytes, body)) {
-            case Parser::Got::More:
+            case Parser::Result::NeedMore:
                 return;
-            case Parser::Got::Head: {
+            case Parser::Result::Head: {
                 c.request = {};
                 c.request.connection = id;
                 c.request.head = c.parser.head();
                 std::string_view target = c.request.head.target;
                 const auto mark = std::min(target.find('?'), target.size());
-                c.request.path = wire::http::unescape(target.substr(0, mark)).value_or("");
+                c.request.path = wire::http::percentDecode(target.substr(0, mark)).value_or("");
                 target.remove_prefix(std::min(mark + 1, target.size()));
                 while (!target.empty()) {
                     const auto end = std::min(target.find('&'), target.size());
                     const auto pair = target.substr(0, end);
                     const auto equals = std::min(pair.find('='), pair.size());
                     c.request.query[std::string(pair.substr(0, equals))] =
-                        wire::http::unescape(pair.substr(std::min(equals + 1, pair.size()))).value_or("");
+                        wire::http::percentDecode(pair.substr(std::min(equals + 1, pair.size())))
+                            .value_or("");
                     target.remove_prefix(std::min(end + 1, target.size()));
                 }
                 break;
             }
-            case Parser::Got::Body:
+            case Parser::Result::Body:
                 c.request.body += body;
                 break;
-            case Parser::Got::End:
+            case Parser::Result::End:
                 c.busy = true;
-                c.closing = c.parser.closes();
+                c.closing = c.parser.closesConnection();
                 c.pending = bytes;
                 c.parser.reset();
                 return handler_.request(std::move(c.request));
-            case Parser::Got::Bad:
-                c.connection->write(wire::http::writeResponse(400, {{"Connection", "close"}}, 0));
+            case Parser::Result::Invalid:
+                c.connection->write(wire::http::responseHead(400, {{"Connection", "close"}}, 0));
                 c.connection->shutdownWrite();
                 c.busy = true;
                 return;
@@ -84,7 +85,7 @@
     if (found == clients_.end()) return;
     auto& c = *found->second;
     const bool headOnly = c.request.head.method == "HEAD";
-    c.connection->write(wire::http::writeResponse(status, fields, body.size()));
+    c.connection->write(wire::http::responseHead(status, fields, body.size()));
     if (!headOnly && !body.empty()) c.connection->write(std::move(body));
     c.busy = false;
     if (c.closing) return c.connection->shutdownWrite();
@@ -96,7 +97,7 @@
     const auto found = clients_.find(id);
     if (found == clients_.end()) return;
     auto& c = *found->second;
-    c.connection->write(wire::http::writeResponse(status, {}, body.size()));
+    c.connection->write(wire::http::responseHead(status, {}, body.size()));
     c.connection->write(body.substr(0, std::min(bodyBytes, body.size() - 1)));
     c.connection->shutdownWrite();
 }
@@ -117,7 +118,7 @@
 void HttpServer::cutIdle() {
     std::vector<std::uint64_t> idle;
     for (const auto& [id, c] : clients_)
-        if (!c->busy && c->parser.atStart()) idle.push_back(id);
+        if (!c->busy && c->parser.atMessageStart()) idle.push_back(id);
     for (const auto id : idle) drop(id);
 }
 void HttpServer::pauseAll(bool paused) {
--- a/standins/storage_node.cpp
+++ b/standins/storage_node.cpp
@@ -242,7 +242,7 @@
 void StorageNode::put(const Request& r) {
     if (const auto* told = r.head.find("Repr-Digest")) {
         const auto found = wire::http::checkDigest(*told, r.body);
-        if (found == wire::http::Digest::Differs || found == wire::http::Digest::Bad) {
+        if (found == wire::http::DigestCheck::Differs || found == wire::http::DigestCheck::Malformed) {
             trace("damaged", r, 400);
             return reply(r, 400, {{"Want-Repr-Digest", "sha-256=10"}}, "");
         }
@@ -288,11 +288,11 @@
     int status = 200;
     if (const auto* text = r.head.find("Range")) {
         const auto asked = wire::http::parseRange(*text);
-        if (asked && asked->from >= o.size) return reply(r, 416, {}, "");
-        if (asked) range = {asked->from, std::min(asked->to, o.size - 1)}, status = 206;
+        if (asked && asked->first >= o.size) return reply(r, 416, {}, "");
+        if (asked) range = {asked->first, std::min(asked->last, o.size - 1)}, status = 206;
     }
-    std::string body(o.size ? range.to - range.from + 1 : 0, '\0');
-    const auto n = pread(fileno(data_), body.data(), body.size(), static_cast<off_t>(o.offset + range.from));
+    std::string body(o.size ? range.last - range.first + 1 : 0, '\0');
+    const auto n = pread(fileno(data_), body.data(), body.size(), static_cast<off_t>(o.offset + range.first));
     if (n != static_cast<ssize_t>(body.size())) return reply(r, 500, {}, "");
     ++executed_;
     trace("execute", r, status);
--- a/tests/gateway/platform_support.hpp
+++ b/tests/gateway/platform_support.hpp
@@ -76,15 +76,15 @@
 
   private:
     void read(AcceptedConnection& t, std::string_view bytes) {
-        using Got = wire::http::Parser::Got;
+        using Result = wire::http::Parser::Result;
         std::string_view part;
         for (;;) switch (t.parser.next(bytes, part)) {
-                case Got::Body:
+                case Result::Body:
                     t.body += part;
                     break;
-                case Got::Head:
+                case Result::Head:
                     break;
-                case Got::End:
+                case Result::End:
                     t.heads.push_back(t.parser.head());
                     t.bodies.push_back(std::exchange(t.body, {}));
                     t.parser.reset();
--- a/tests/gateway/platform_test.cpp
+++ b/tests/gateway/platform_test.cpp
@@ -114,7 +114,7 @@
         EXPECT_FALSE(head.find(dropped)) << dropped;
     for (const auto* single : {"X-Request-ID", "X-Timeout-Ms", "Host", "Content-Length"}) {
         int n = 0;
-        for (const auto& [name, value] : head.fields) n += wire::http::sameName(name, single);
+        for (const auto& [name, value] : head.fields) n += wire::http::equalsIgnoreCase(name, single);
         EXPECT_EQ(n, 1) << single;
     }
 }
