--- a/fuzz/peer_fuzz.cpp
+++ b/fuzz/peer_fuzz.cpp
@@ -1,4 +1,5 @@
-// Peer datagrams, catalogue metadata and lists of pieces: what is taken comes back the same when written.
+// Fuzzes the decoders of peer datagrams, catalogue metadata and piece lists: what is accepted must not change
+// when it is encoded and decoded again.
 #include <cstdlib>
 
 #include "catalogue/file_version.hpp"
@@ -9,26 +10,27 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     using namespace spokewheel;
     const std::string_view text(reinterpret_cast<const char*>(data), size);
-    const wire::peer::Digest none = [](std::string_view) {
+    const wire::peer::KeyedDigest constantDigest = [](std::string_view) {
         return std::string(wire::peer::kDigestBytes, 'd');
     };
     wire::peer::Fault fault;
-    if (const auto d = wire::peer::unpack(text, none, fault)) {
+    if (const auto datagram = wire::peer::unpack(text, constantDigest, fault)) {
         wire::peer::ReplayGuard guard;
-        guard.take(*d);
-        if (guard.take(*d) || wire::peer::pack(*d, none) != text) std::abort();
+        guard.accept(*datagram);
+        if (guard.accept(*datagram) || wire::peer::pack(*datagram, constantDigest) != text) std::abort();
     }
     if (const auto query = wire::peer::readMembershipQuery(text))
         if (wire::peer::pack(*query) != text) std::abort();
     if (const auto part = wire::peer::readMembershipPart(text)) {
-        if (part->part >= part->parts || part->members.size() > wire::peer::kMembersInPart) std::abort();
-        const auto again = wire::peer::packMembership(*part, part->members);
-        if (again.size() != 1 || (part->parts == 1 && again[0] != text)) std::abort();
+        if (part->part >= part->parts || part->members.size() > wire::peer::kMaxMembersPerPart) std::abort();
+        const auto packed = wire::peer::packMembership(*part, part->members);
+        if (packed.size() != 1 || (part->parts == 1 && packed[0] != text)) std::abort();
     }
-    if (const auto v = catalogue::decode(text))
-        if (const auto back = catalogue::decode(catalogue::encode(*v)); !back || back->path != v->path)
+    if (const auto version = catalogue::decode(text))
+        if (const auto decoded = catalogue::decode(catalogue::encode(*version));
+            !decoded || decoded->path != version->path)
             std::abort();
-    if (const auto p = catalogue::decodePieces(text, 100))
-        if (!catalogue::decodePieces(catalogue::encode(*p), 100)) std::abort();
+    if (const auto pieces = catalogue::decodePieces(text, 100))
+        if (!catalogue::decodePieces(catalogue::encode(*pieces), 100)) std::abort();
     return 0;
 }
--- a/src/peers/peer_link.cpp
+++ b/src/peers/peer_link.cpp
@@ -23,7 +23,7 @@
 }
 
 void PeerLink::send(int to, const std::string& bytes) {
-    if (bytes.size() > wire::peer::kMostPayload) {
+    if (bytes.size() > wire::peer::kMaxPayloadBytes) {
         ++counters_.oversized;
         return;
     }
@@ -47,7 +47,7 @@
         ++counters_.unknown;
         return;
     }
-    if (!replay_.take(*d)) {
+    if (!replay_.accept(*d)) {
         ++counters_.replayed;
         return;
     }
--- a/src/peers/peer_link.hpp
+++ b/src/peers/peer_link.hpp
@@ -39,7 +39,7 @@
     std::map<int, io::Address> addresses_;
     wire::peer::ReplayGuard replay_;
     PeerCounters counters_;
-    wire::peer::Digest digest_;
+    wire::peer::KeyedDigest digest_;
     std::unique_ptr<io::DatagramSocket> socket_;
 };
 
--- a/src/platform/startup_node_list.cpp
+++ b/src/platform/startup_node_list.cpp
@@ -48,11 +48,11 @@
     const double now = io::nowMs();
     std::vector<peer::Member> members;
     for (const auto& [node, startedAt] : nodeTable_.usableNodes())
-        members.push_back({peer::idDigest(node), startedAt > 0 ? now - startedAt : peer::kOldestAgeMs});
+        members.push_back({peer::idDigest(node), startedAt > 0 ? now - startedAt : peer::kMaxAgeMs});
     peer::MembershipPart head;
     head.nonce = query.nonce;
     head.listVersion = static_cast<std::uint32_t>(nodeTable_.version());
-    head.wordAgeMs = now - *listServiceHeardAt_;
+    head.lastContactAgeMs = now - *listServiceHeardAt_;
     for (const auto& bytes : peer::packMembership(head, members)) callbacks_.sendToPeer(to, bytes);
 }
 
--- a/src/registry/decide_confirmation.hpp
+++ b/src/registry/decide_confirmation.hpp
@@ -56,7 +56,7 @@
     // belongs to another version of the peer's list discards the parts received so far.
     bool addPart(int from, const wire::peer::MembershipPart& part, double nowMs) {
         auto& answer = answers_[from];
-        const double lastContactAt = nowMs - part.wordAgeMs;
+        const double lastContactAt = nowMs - part.lastContactAgeMs;
         if (answer.parts != part.parts || answer.listVersion != part.listVersion) {
             answer = {};
             answer.parts = part.parts;
@@ -66,7 +66,7 @@
         if (!answer.received.insert(part.part).second) return false;
         for (const auto& member : part.members)
             answer.startedAt[member.idDigest] =
-                member.ageMs >= wire::peer::kOldestAgeMs ? 0 : nowMs - member.ageMs;
+                member.ageMs >= wire::peer::kMaxAgeMs ? 0 : nowMs - member.ageMs;
         if (answer.complete() && firstCompleteAt_ < 0) firstCompleteAt_ = nowMs;
         return true;
     }
--- a/src/wire/peer/datagram.hpp
+++ b/src/wire/peer/datagram.hpp
@@ -1,5 +1,9 @@
-// The datagrams between hosts: the module's bytes with sender, incarnation and sequence under a keyed digest
-// (the digest itself is handed in). Also what a receiver must remember to drop repeats. No I/O, no clock.
+// Datagrams between hosts: the bytes of a scheduler message with sender, incarnation and sequence number,
+// authenticated by a keyed digest that the caller provides. Also the receiver's protection against replays.
+// Free of I/O and clocks.
+//
+// Figures are big-endian: magic "SPW1", sender (2 bytes), incarnation (8), sequence number (8), payload,
+// digest of all that precedes it (32).
 #pragma once
 
 #include <cstdint>
@@ -11,31 +15,37 @@
 
 namespace spokewheel::wire::peer {
 
-constexpr std::size_t kDigestBytes = 32, kMostPayload = 1024;
+constexpr std::size_t kDigestBytes = 32, kMaxPayloadBytes = 1024;
 
 struct Datagram {
-    std::uint16_t from = 0;
+    std::uint16_t from = 0;         // rank of the sender
     std::uint64_t incarnation = 0;  // of the sender's process; grows with each start
     std::uint64_t sequence = 0;
     std::string payload;
 };
-using Digest = std::function<std::string(std::string_view)>;  // kDigestBytes long
+// A message authentication code (HMAC) of the bytes under the hosts' shared key, kDigestBytes long.
+using KeyedDigest = std::function<std::string(std::string_view)>;
 
-std::string pack(const Datagram& d, const Digest& digest);
+std::string pack(const Datagram& datagram, const KeyedDigest& digest);
+// Why a datagram was refused: its size, its magic (another version), or its digest (a wrong key or forged).
 enum class Fault { None, Malformed, Version, Digest };
-std::optional<Datagram> unpack(std::string_view bytes, const Digest& digest, Fault& fault);
+// Nothing if the datagram is refused; `fault` is then set to the reason.
+std::optional<Datagram> unpack(std::string_view bytes, const KeyedDigest& digest, Fault& fault);
 
-// A window of sequences per sender, as IPsec's anti-replay has it (RFC 4303, 3.4.3): late ones within the
-// window are taken once, older ones and repeats never; an incarnation below the newest seen is refused.
+// Rejects replayed datagrams with a window of 64 sequence numbers per sender, like IPsec's anti-replay
+// service (RFC 4303, 3.4.3): late ones within the window are accepted once, older ones and repeats never.
+// Datagrams of an incarnation below the newest seen are rejected.
 class ReplayGuard {
   public:
-    bool take(const Datagram& d);
+    // Returns false if the datagram must be dropped. Call it only for datagrams with a valid digest.
+    bool accept(const Datagram& datagram);
 
   private:
-    struct Seen {
-        std::uint64_t incarnation = 0, newest = 0, window = 0;
+    struct SenderWindow {
+        // receivedBits: bit i is set once sequence number `newest` - i was received
+        std::uint64_t incarnation = 0, newest = 0, receivedBits = 0;
     };
-    std::map<std::uint16_t, Seen> seen_;
+    std::map<std::uint16_t, SenderWindow> senders_;
 };
 
 }  // namespace spokewheel::wire::peer
--- a/src/wire/peer/membership.cpp
+++ b/src/wire/peer/membership.cpp
@@ -5,14 +5,14 @@
 namespace spokewheel::wire::peer {
 namespace {
 
-constexpr char kQuery = 5, kAnswer = 6;
+constexpr char kQueryKind = 5, kAnswerKind = 6;
 constexpr std::size_t kKindBytes = 1, kNonceBytes = 4, kVersionBytes = 4, kCountBytes = 2, kAgeBytes = 2,
-                      kDigestIdBytes = 5;
+                      kIdDigestBytes = 5;
 constexpr std::size_t kQueryBytes = kKindBytes + kNonceBytes;
-constexpr std::size_t kAnswerHeadBytes = kQueryBytes + kVersionBytes + 2 * kCountBytes + kAgeBytes;
-constexpr std::size_t kMemberBytes = kDigestIdBytes + kAgeBytes;
-constexpr std::uint64_t kMostAgeUnits = 65535;
-static_assert(kAnswerHeadBytes + kMembersInPart * kMemberBytes <= kMostMembershipBytes);
+constexpr std::size_t kAnswerHeaderBytes = kQueryBytes + kVersionBytes + 2 * kCountBytes + kAgeBytes;
+constexpr std::size_t kMemberBytes = kIdDigestBytes + kAgeBytes;
+constexpr std::uint64_t kMaxAgeUnits = 65535;
+static_assert(kAnswerHeaderBytes + kMaxMembersPerPart * kMemberBytes <= kMaxMembershipBytes);
 
 void put(std::string& out, std::uint64_t value, std::size_t bytes) {
     for (std::size_t i = bytes; i-- > 0;) out += static_cast<char>(value >> (8 * i) & 255);
@@ -25,43 +25,44 @@
     return value;
 }
 
-std::uint64_t ageUnits(double ageMs) {
-    return std::min(kMostAgeUnits, static_cast<std::uint64_t>(std::max(0.0, ageMs) / kAgeUnitMs));
+std::uint64_t ageUnitsOf(double ageMs) {
+    return std::min(kMaxAgeUnits, static_cast<std::uint64_t>(std::max(0.0, ageMs) / kAgeUnitMs));
 }
 
-double ageOf(std::uint64_t units) { return static_cast<double>(units) * kAgeUnitMs; }
+double ageMsOf(std::uint64_t units) { return static_cast<double>(units) * kAgeUnitMs; }
 
 }  // namespace
 
-// FNV-1a (64 bits, folded to 40): few lines, and no library has to agree on it from one build to the next.
+// FNV-1a, 64 bits folded to 40. Implemented here, so that hosts of different builds agree on the value
+// whatever libraries they use.
 std::uint64_t idDigest(std::string_view id) {
     std::uint64_t hash = 0xcbf29ce484222325ULL;
     for (const char c : id) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
-    constexpr unsigned kBits = 8 * kDigestIdBytes;
+    constexpr unsigned kBits = 8 * kIdDigestBytes;
     return (hash ^ hash >> kBits) & ((std::uint64_t{1} << kBits) - 1);
 }
 
 std::string pack(const MembershipQuery& query) {
-    std::string out(1, kQuery);
+    std::string out(1, kQueryKind);
     put(out, query.nonce, kNonceBytes);
     return out;
 }
 
 std::vector<std::string> packMembership(const MembershipPart& head, const std::vector<Member>& members) {
-    const std::size_t needed = (members.size() + kMembersInPart - 1) / kMembersInPart;
-    const std::size_t parts = std::clamp<std::size_t>(needed, 1, kMostMembershipParts);
+    const std::size_t needed = (members.size() + kMaxMembersPerPart - 1) / kMaxMembersPerPart;
+    const std::size_t parts = std::clamp<std::size_t>(needed, 1, kMaxMembershipParts);
     std::vector<std::string> out;
     for (std::size_t part = 0; part < parts; ++part) {
-        std::string bytes(1, kAnswer);
+        std::string bytes(1, kAnswerKind);
         put(bytes, head.nonce, kNonceBytes);
         put(bytes, head.listVersion, kVersionBytes);
         put(bytes, part, kCountBytes);
         put(bytes, parts, kCountBytes);
-        put(bytes, ageUnits(head.wordAgeMs), kAgeBytes);
-        const std::size_t end = std::min(members.size(), (part + 1) * kMembersInPart);
-        for (std::size_t i = part * kMembersInPart; i < end; ++i) {
-            put(bytes, members[i].idDigest, kDigestIdBytes);
-            put(bytes, ageUnits(members[i].ageMs), kAgeBytes);
+        put(bytes, ageUnitsOf(head.lastContactAgeMs), kAgeBytes);
+        const std::size_t end = std::min(members.size(), (part + 1) * kMaxMembersPerPart);
+        for (std::size_t i = part * kMaxMembersPerPart; i < end; ++i) {
+            put(bytes, members[i].idDigest, kIdDigestBytes);
+            put(bytes, ageUnitsOf(members[i].ageMs), kAgeBytes);
         }
         out.push_back(std::move(bytes));
     }
@@ -69,14 +70,14 @@
 }
 
 std::optional<MembershipQuery> readMembershipQuery(std::string_view bytes) {
-    if (bytes.size() != kQueryBytes || bytes.front() != kQuery) return std::nullopt;
+    if (bytes.size() != kQueryBytes || bytes.front() != kQueryKind) return std::nullopt;
     bytes.remove_prefix(kKindBytes);
     return MembershipQuery{static_cast<std::uint32_t>(take(bytes, kNonceBytes))};
 }
 
 std::optional<MembershipPart> readMembershipPart(std::string_view bytes) {
-    if (bytes.size() < kAnswerHeadBytes || bytes.size() > kMostMembershipBytes || bytes.front() != kAnswer ||
-        (bytes.size() - kAnswerHeadBytes) % kMemberBytes != 0)
+    if (bytes.size() < kAnswerHeaderBytes || bytes.size() > kMaxMembershipBytes ||
+        bytes.front() != kAnswerKind || (bytes.size() - kAnswerHeaderBytes) % kMemberBytes != 0)
         return std::nullopt;
     bytes.remove_prefix(kKindBytes);
     MembershipPart part;
@@ -84,11 +85,11 @@
     part.listVersion = static_cast<std::uint32_t>(take(bytes, kVersionBytes));
     part.part = static_cast<std::uint16_t>(take(bytes, kCountBytes));
     part.parts = static_cast<std::uint16_t>(take(bytes, kCountBytes));
-    if (part.part >= part.parts || part.parts > kMostMembershipParts) return std::nullopt;
-    part.wordAgeMs = ageOf(take(bytes, kAgeBytes));
+    if (part.part >= part.parts || part.parts > kMaxMembershipParts) return std::nullopt;
+    part.lastContactAgeMs = ageMsOf(take(bytes, kAgeBytes));
     while (!bytes.empty()) {
-        const auto digest = take(bytes, kDigestIdBytes);
-        part.members.push_back({digest, ageOf(take(bytes, kAgeBytes))});
+        const auto digest = take(bytes, kIdDigestBytes);
+        part.members.push_back({digest, ageMsOf(take(bytes, kAgeBytes))});
     }
     return part;
 }
--- a/tests/gateway/confirmation_test.cpp
+++ b/tests/gateway/confirmation_test.cpp
@@ -13,27 +13,28 @@
 namespace {
 
 using wire::peer::idDigest;
-using wire::peer::kOldestAgeMs;
+using wire::peer::kMaxAgeMs;
 using wire::peer::Member;
 using wire::peer::MembershipPart;
 
 constexpr int kPeers = 10, kOwnRank = 3;
 constexpr double kNow = 100000;
 
-std::vector<Member> members(const std::vector<std::string>& ids, double ageMs = kOldestAgeMs) {
+std::vector<Member> members(const std::vector<std::string>& ids, double ageMs = kMaxAgeMs) {
     std::vector<Member> out;
     for (const auto& id : ids) out.push_back({idDigest(id), ageMs});
     return out;
 }
-MembershipPart head(double wordAgeMs, std::uint32_t version = 1) {
+MembershipPart head(double lastContactAgeMs, std::uint32_t version = 1) {
     MembershipPart out;
     out.nonce = 7;
     out.listVersion = version;
-    out.wordAgeMs = wordAgeMs;
+    out.lastContactAgeMs = lastContactAgeMs;
     return out;
 }
-MembershipPart whole(const std::vector<Member>& members, double wordAgeMs) {
-    return *wire::peer::readMembershipPart(wire::peer::packMembership(head(wordAgeMs), members).front());
+MembershipPart whole(const std::vector<Member>& members, double lastContactAgeMs) {
+    return *wire::peer::readMembershipPart(
+        wire::peer::packMembership(head(lastContactAgeMs), members).front());
 }
 std::set<std::uint64_t> namesOf(const ConfirmedNodes& nodes) {
     std::set<std::uint64_t> out;
@@ -54,14 +55,14 @@
         const auto datagrams = wire::peer::packMembership(head(2050, 70000), all);
         std::vector<Member> read;
         for (std::size_t i = 0; i < datagrams.size(); ++i) {
-            ASSERT_LE(datagrams[i].size(), wire::peer::kMostMembershipBytes);
+            ASSERT_LE(datagrams[i].size(), wire::peer::kMaxMembershipBytes);
             const auto part = wire::peer::readMembershipPart(datagrams[i]);
             ASSERT_TRUE(part);
             EXPECT_EQ(part->nonce, 7u);
             EXPECT_EQ(part->listVersion, 70000u);
             EXPECT_EQ(part->part, i);
             EXPECT_EQ(part->parts, datagrams.size());
-            EXPECT_EQ(part->wordAgeMs, 2000);
+            EXPECT_EQ(part->lastContactAgeMs, 2000);
             read.insert(read.end(), part->members.begin(), part->members.end());
         }
         ASSERT_EQ(read.size(), count);
@@ -174,8 +175,8 @@
 
 TEST(Confirmation, AStartIsAsLateAsAnyOfThemSays) {
     Confirmation confirmation(kPeers, kOwnRank, 1);
-    confirmation.addPart(1, whole({{idDigest("a"), 4000}, {idDigest("b"), kOldestAgeMs}}, 3000), kNow);
-    confirmation.addPart(2, whole({{idDigest("a"), 1500}, {idDigest("b"), kOldestAgeMs}}, 3000), kNow);
+    confirmation.addPart(1, whole({{idDigest("a"), 4000}, {idDigest("b"), kMaxAgeMs}}, 3000), kNow);
+    confirmation.addPart(2, whole({{idDigest("a"), 1500}, {idDigest("b"), kMaxAgeMs}}, 3000), kNow);
     const auto nodes = confirmation.confirmedNodes(kNow + 200);
     EXPECT_EQ(nodes->startedAt.at(idDigest("a")), kNow - 1500);
     EXPECT_EQ(nodes->startedAt.at(idDigest("b")), 0);
--- a/tests/gateway/parts_test.cpp
+++ b/tests/gateway/parts_test.cpp
@@ -332,7 +332,7 @@
 }
 
 TEST(PeerDatagram, ForgedGarbledAndRepeatedOnesAreDropped) {
-    const wire::peer::Digest digest = [](std::string_view bytes) {
+    const wire::peer::KeyedDigest digest = [](std::string_view bytes) {
         return catalogue::xxh128Hex("key" + std::string(bytes));
     };
     const auto text = wire::peer::pack({3, 100, 5, "credits"}, digest);
@@ -346,7 +346,7 @@
     }
     wire::peer::ReplayGuard guard;
     const auto take = [&guard](std::uint64_t incarnation, std::uint64_t sequence) {
-        return guard.take({3, incarnation, sequence, ""});
+        return guard.accept({3, incarnation, sequence, ""});
     };
     EXPECT_TRUE(take(100, 5));
     EXPECT_FALSE(take(100, 5));
