--- a/fuzz/rsync_fuzz.cpp
+++ b/fuzz/rsync_fuzz.cpp
@@ -1,5 +1,5 @@
-// The rsync codecs: the first byte picks one. What is read in parts must be what is read whole; what is read
-// back after writing must be the same.
+// Fuzzes the rsync decoders; the first byte selects one. For streams, the results for the whole input and for
+// single bytes must be equal.
 #include <cstdlib>
 
 #include "fuzz/driver.hpp"
@@ -12,61 +12,61 @@
 
 namespace {
 
-std::string demuxed(std::string_view text, std::size_t step) {
-    Demux d;
+std::string demultiplex(std::string_view text, std::size_t step) {
+    Demux demux;
     std::string data;
-    std::vector<Demux::Beside> beside;
+    std::vector<Demux::Message> messages;
     for (std::size_t at = 0; at < text.size(); at += step)
-        if (!d.feed(text.substr(at, step), data, beside)) return data + "!" + d.error();
-    for (const auto& b : beside) data += "|" + b.payload;
+        if (!demux.feed(text.substr(at, step), data, messages)) return data + "!" + demux.error();
+    for (const auto& message : messages) data += "|" + message.payload;
     return data;
 }
-std::string listed(std::string_view text, std::size_t step, bool varint) {
+std::string readFileList(std::string_view text, std::size_t step, bool varint) {
     ListForm form;
     form.varintFlags = varint;
     form.uids = form.gids = form.links = form.devices = form.specials = true;
     form.sumBytes = varint ? 16 : 0;
-    ListReader r(form);
-    std::string out, held;
+    ListReader reader(form);
+    std::string out, pending;
     for (std::size_t at = 0; at < text.size(); at += step) {
-        held += text.substr(at, step);
-        std::string_view in = held;
+        pending += text.substr(at, step);
+        std::string_view in = pending;
         for (;;) {
-            FileEntry e;
-            const auto got = r.next(in, e);
-            if (got == ListReader::Got::Bad) return out + "!";
-            if (got == ListReader::Got::End) return out + "." + std::to_string(r.ioError());
-            if (got == ListReader::Got::More) break;
-            if (e.name.empty() || e.name.size() > kMostName) std::abort();
-            faultOfName(e.name);
-            sortKey(e);
-            out += e.name + std::to_string(e.size) + "," + std::to_string(e.mode) + ";";
+            FileEntry entry;
+            const auto result = reader.next(in, entry);
+            if (result == ListReader::Result::Invalid) return out + "!";
+            if (result == ListReader::Result::End) return out + "." + std::to_string(reader.ioError());
+            if (result == ListReader::Result::NeedMore) break;
+            if (entry.name.empty() || entry.name.size() > kMaxPathBytes) std::abort();
+            invalidNameReason(entry.name);
+            sortKey(entry);
+            out += entry.name + std::to_string(entry.size) + "," + std::to_string(entry.mode) + ";";
         }
-        held = std::string(in);
+        pending = std::string(in);
     }
     return out;
 }
-std::string tokens(std::string_view text, std::size_t step, bool zstd) {
-    TokenReader r(zstd);
-    std::string out, held;
+std::string readTokens(std::string_view text, std::size_t step, bool zstd) {
+    TokenReader reader(zstd);
+    std::string out, pending;
     for (std::size_t at = 0; at < text.size(); at += step) {
-        held += text.substr(at, step);
-        std::string_view in = held;
+        pending += text.substr(at, step);
+        std::string_view in = pending;
         for (;;) {
-            const auto t = r.next(in);
-            if (t.kind == Token::Kind::Bad) return out + "!";
-            if (t.kind == Token::Kind::More) break;
-            if (t.kind == Token::Kind::Literal) out += t.literal;
-            else if (t.kind == Token::Kind::Block) out += "#" + std::to_string(t.block);
+            const auto token = reader.next(in);
+            if (token.kind == Token::Kind::Invalid) return out + "!";
+            if (token.kind == Token::Kind::NeedMore) break;
+            if (token.kind == Token::Kind::Literal) out += token.literal;
+            else if (token.kind == Token::Kind::Block) out += "#" + std::to_string(token.block);
             else out += "|";
             if (out.size() > (16u << 20))
-                return out;  // packed zeros unpack to much; that is not the matter here
+                return out;  // zeros decompress to a lot of output, which is not what is tested
         }
-        held = std::string(in);
+        pending = std::string(in);
     }
     return out;
 }
-void same(const std::string& a, const std::string& b) {
+void requireEqual(const std::string& a, const std::string& b) {
     if (a != b) std::abort();
 }
 
@@ -78,19 +78,19 @@
     const auto whole = text.size() + 1;
     switch (data[0] % 6) {
         case 0:
-            same(demuxed(text, whole), demuxed(text, 1));
+            requireEqual(demultiplex(text, whole), demultiplex(text, 1));
             break;
         case 1:
-            same(listed(text, whole, true), listed(text, 1, true));
+            requireEqual(readFileList(text, whole, true), readFileList(text, 1, true));
             break;
         case 2:
-            same(listed(text, whole, false), listed(text, 1, false));
+            requireEqual(readFileList(text, whole, false), readFileList(text, 1, false));
             break;
         case 3:
-            same(tokens(text, whole, false), tokens(text, 1, false));
+            requireEqual(readTokens(text, whole, false), readTokens(text, 1, false));
             break;
         case 4:
-            same(tokens(text, whole, true), tokens(text, 1, true));
+            requireEqual(readTokens(text, whole, true), readTokens(text, 1, true));
             break;
         case 5: {
             std::vector<std::string> arguments;
@@ -101,13 +101,13 @@
             }
             parseOptions(arguments);
             parseGreeting(text);
-            Filter f(Filter::Side::Receiver);
-            for (const auto& a : arguments) f.add(a);
-            f.excluded(text.substr(0, 200), false);
-            Reader r(text);
-            getSumHead(r);
+            Filter filter(Filter::Side::Receiver);
+            for (const auto& a : arguments) filter.add(a);
+            filter.excluded(text.substr(0, 200), false);
+            Reader reader(text);
+            getSumHead(reader);
             IndexCoder coder;
-            for (int i = 0; i < 50 && r.enough() && !r.bad(); ++i) coder.get(r);
+            for (int i = 0; i < 50 && reader.complete() && !reader.failed(); ++i) coder.get(reader);
         }
     }
     return 0;
--- a/kit/rsync_client.cpp
+++ b/kit/rsync_client.cpp
@@ -31,7 +31,7 @@
     socket_.read(static_cast<unsigned char>(length[0]));
     socket_.read(4);
     std::string frame;
-    putFrame(frame, Message::Data, std::string(4, '\0'));  // no filter rules
+    putFrame(frame, MessageTag::Data, std::string(4, '\0'));  // no filter rules
     socket_.send(frame);
     ListReader reader{ListForm{}};
     for (;;) {
@@ -39,9 +39,9 @@
         FileEntry e;
         const auto got = reader.next(in, e);
         in_.erase(0, in_.size() - in.size());
-        if (got == ListReader::Got::Entry) list_.push_back(std::move(e));
-        else if (got == ListReader::Got::End) break;
-        else if (got == ListReader::Got::Bad || !more()) return;
+        if (got == ListReader::Result::Entry) list_.push_back(std::move(e));
+        else if (got == ListReader::Result::End) break;
+        else if (got == ListReader::Result::Invalid || !more()) return;
     }
     sortList(list_);
     ended_.resize(list_.size());
@@ -60,7 +60,7 @@
     out_.put(ask, index);
     putU16(ask, 0x8000);
     putSumHead(ask, {});
-    putFrame(frame, Message::Data, ask);
+    putFrame(frame, MessageTag::Data, ask);
     f.content.reserve(list_[static_cast<std::size_t>(index)].size);
     f.askedUs = monotonicUs();
     const auto end = [&](Fetched::End how) {
@@ -74,7 +74,7 @@
     bool head = false, content = true;
     for (;;) {
         for (const auto& m : std::exchange(beside_, {}))
-            if (m.kind == Message::NoSend) return end(Fetched::End::NotSent);
+            if (m.tag == MessageTag::NoSend) return end(Fetched::End::NotSent);
         std::string_view in = in_;
         Reader r(in);
         if (!head) {
@@ -82,10 +82,10 @@
             const auto got = coder.get(r);
             r.u16();
             getSumHead(r);
-            if (r.enough()) {
+            if (r.complete()) {
                 if (got != index) return end(Fetched::End::Lost);
                 back_ = coder;
-                in_.erase(0, r.used());
+                in_.erase(0, r.consumed());
                 head = true;
                 continue;
             }
@@ -96,22 +96,22 @@
                 const auto t = tokens_.next(in);
                 if (t.kind == Token::Kind::Literal) f.content += t.literal;
                 if (t.kind == Token::Kind::End) content = false;
-                if (t.kind == Token::Kind::Bad || t.kind == Token::Kind::Block)
+                if (t.kind == Token::Kind::Invalid || t.kind == Token::Kind::Block)
                     return end(Fetched::End::Lost);
-                again = t.kind != Token::Kind::More || in.size() != before;
+                again = t.kind != Token::Kind::NeedMore || in.size() != before;
                 any = any || again;
             }
             in_.erase(0, in_.size() - in.size());
             if (any && !content) continue;
-        } else if (in.size() >= kSumBytes) {
+        } else if (in.size() >= kMaxStrongSumBytes) {
             std::string sum;
             const auto h = XXH3_128bits(f.content.data(), f.content.size());
             for (const auto half : {h.low64, h.high64}) {
                 putU32(sum, static_cast<std::uint32_t>(half));
                 putU32(sum, static_cast<std::uint32_t>(half >> 32));
             }
-            const bool same = in.substr(0, kSumBytes) == sum;
-            in_.erase(0, kSumBytes);
+            const bool same = in.substr(0, kMaxStrongSumBytes) == sum;
+            in_.erase(0, kMaxStrongSumBytes);
             return end(same ? Fetched::End::Content : Fetched::End::BadSum);
         }
         if (!more()) return end(Fetched::End::Lost);
--- a/kit/rsync_client.hpp
+++ b/kit/rsync_client.hpp
@@ -34,7 +34,7 @@
     bool more();
     Socket socket_;
     wire::rsync::Demux demux_;
-    std::vector<wire::rsync::Demux::Beside> beside_;
+    std::vector<wire::rsync::Demux::Message> beside_;
     std::string in_;
     std::vector<wire::rsync::FileEntry> list_;
     std::vector<bool> ended_;
--- a/src/fronts/rsync/basis.cpp
+++ b/src/fronts/rsync/basis.cpp
@@ -20,7 +20,7 @@
     h.count = static_cast<std::int32_t>((v.size + static_cast<std::uint64_t>(h.length) - 1) /
                                         static_cast<std::uint64_t>(h.length));
     h.remainder = static_cast<std::int32_t>(v.size % static_cast<std::uint64_t>(h.length));
-    h.sumBytes = static_cast<std::int32_t>(sizeOf(parameters_.checksumKind));
+    h.sumBytes = static_cast<std::int32_t>(sumSize(parameters_.checksumKind));
     if (v.layout == catalogue::Layout::Inline) {
         pieces_ = {{v.shard, "o/" + v.id, v.size, v.digest}};
         pieceOffsets_ = {0};
@@ -56,7 +56,7 @@
             checksumNextPiece();
         });
     if (!partialBlock_.empty()) {
-        Rolling r;
+        RollingSum r;
         r.start(partialBlock_);
         sums_.rolling.push_back(r.value());
         sums_.strong += blockSum(parameters_.checksumKind, md5, partialBlock_, parameters_.checksumSeed,
@@ -70,7 +70,7 @@
 void Basis::addBlockSums(std::string_view bytes) {
     const auto length = static_cast<std::size_t>(sums_.head.length);
     const auto add = [&](std::string_view block) {
-        Rolling r;
+        RollingSum r;
         r.start(block);
         sums_.rolling.push_back(r.value());
         sums_.strong +=
--- a/src/fronts/rsync/channel.cpp
+++ b/src/fronts/rsync/channel.cpp
@@ -6,7 +6,7 @@
 
 namespace spokewheel::fronts::rsync {
 
-using wire::rsync::Message;
+using wire::rsync::MessageTag;
 
 bool Channel::receive(std::string_view bytes) {
     if (!multiplexedIn_) input_ += bytes;
@@ -75,7 +75,7 @@
 
 void Channel::writeRaw(std::string_view bytes) { pipe_->write(std::string(bytes)); }
 
-void Channel::sendMessage(Message kind, std::string_view payload) {
+void Channel::sendMessage(MessageTag kind, std::string_view payload) {
     flush();
     std::string frame;
     wire::rsync::putFrame(frame, kind, payload);
@@ -89,7 +89,7 @@
         const auto n = std::min(bytes.size(), kLiteralBytes);
         std::string frame;
         frame.reserve(n + 8);
-        wire::rsync::putFrameHead(frame, Message::Data, n + 4);
+        wire::rsync::putFrameHeader(frame, MessageTag::Data, n + 4);
         wire::rsync::putU32(frame, static_cast<std::uint32_t>(n));
         frame += bytes.substr(0, n);
         pipe_->write(std::move(frame));
@@ -107,7 +107,7 @@
     frames.reserve(output_.size() + output_.size() / kFrameBytes * 4 + 8);
     for (std::string_view rest = output_; !rest.empty();) {
         const auto n = std::min(rest.size(), kFrameBytes);
-        wire::rsync::putFrame(frames, Message::Data, rest.substr(0, n));
+        wire::rsync::putFrame(frames, MessageTag::Data, rest.substr(0, n));
         rest.remove_prefix(n);
     }
     output_.clear();
--- a/src/fronts/rsync/channel.hpp
+++ b/src/fronts/rsync/channel.hpp
@@ -33,7 +33,7 @@
     // Start and end of the unframed part.
     void suspendMultiplexIn();
     void resumeMultiplexIn();
-    std::vector<wire::rsync::Demux::Beside> takeMessages() { return std::exchange(messages_, {}); }
+    std::vector<wire::rsync::Demux::Message> takeMessages() { return std::exchange(messages_, {}); }
     const std::string& error() const { return error_; }
 
     // ---- output ----
@@ -43,7 +43,7 @@
     // Sends uncompressed literal tokens, copying the bytes only once. Flushes output() first.
     void writeLiteral(std::string_view bytes);
     // Flushes output() first, so that messages keep their place in the stream.
-    void sendMessage(wire::rsync::Message kind, std::string_view payload);
+    void sendMessage(wire::rsync::MessageTag kind, std::string_view payload);
     void flush();
     // Whether the caller should stop producing output.
     bool blocked() const { return pipe_->backlogged() || output_.size() >= kMaxPendingBytes; }
@@ -53,7 +53,7 @@
                                  kFrameBytes = 32 * 1024, kLiteralBytes = 128 * 1024;
     std::shared_ptr<io::ByteStream> pipe_;
     wire::rsync::Demux demux_;
-    std::vector<wire::rsync::Demux::Beside> messages_;
+    std::vector<wire::rsync::Demux::Message> messages_;
     bool demuxFrames();
     std::string input_, output_, undecoded_, error_;
     std::size_t consumed_ = 0;
--- a/src/fronts/rsync/context.hpp
+++ b/src/fronts/rsync/context.hpp
@@ -58,7 +58,7 @@
     wire::rsync::SumKind listChecksumKind = wire::rsync::SumKind::Md5;  // of file lists with --checksum
     std::int32_t checksumSeed = 0;
     // Whether block checksums hash the seed before the block.
-    bool seedFirst() const { return compatFlags & wire::rsync::kSeedFix; }
+    bool seedFirst() const { return compatFlags & wire::rsync::kCompatChecksumSeedFix; }
 };
 
 // Binary MD5 of the concatenation.
@@ -88,7 +88,7 @@
     // Returns false once the transfer has ended; error() is then empty or holds the reason of a failure.
     virtual bool advance() = 0;
     // A non-data message of the multiplexed stream.
-    virtual void onMessage(const wire::rsync::Demux::Beside& message) { (void)message; }
+    virtual void onMessage(const wire::rsync::Demux::Message& message) { (void)message; }
     // Whether the transfer waits for this host; the client does not count as idle meanwhile.
     virtual bool hasPendingWork() const = 0;
     // What the transfer waits for after advance() returned true. None means that it is stuck: no event would
--- a/src/fronts/rsync/decide_file_action.hpp
+++ b/src/fronts/rsync/decide_file_action.hpp
@@ -42,7 +42,7 @@
     if ((options.maxSize && entry.size > *options.maxSize) ||
         (options.minSize && entry.size < *options.minSize))
         return FileAction::Skip;
-    if (!existing) return options.existing ? FileAction::Skip : FileAction::Transfer;
+    if (!existing) return options.existingOnly ? FileAction::Skip : FileAction::Transfer;
     if (options.ignoreExisting) return FileAction::Skip;
     if (options.update && entry.mtime - existing->mtime < std::max(options.modifyWindow, 0))
         return FileAction::Skip;
--- a/src/fronts/rsync/listing.cpp
+++ b/src/fronts/rsync/listing.cpp
@@ -39,7 +39,7 @@
         tasks_.push_front(std::move(task));
         return false;
     }
-    if (entries == 0 || !sorter_.step(wire::rsync::ListSorter::kMovesAnEntry * entries)) return false;
+    if (entries == 0 || !sorter_.step(wire::rsync::ListSorter::kMovesPerEntry * entries)) return false;
     for (; movedCount_ < found_.size(); --entries) {
         if (entries == 0) return false;
         auto& next = found_[sorter_.order()[movedCount_++]];
@@ -77,8 +77,8 @@
     l.entry.name = name;
     l.entry.mode = wire::rsync::kDirectory | (stored ? stored->mode & 07777 : 0755);
     l.entry.mtime = stored ? stored->mtime : 0;
-    l.entry.top = top;
-    l.entry.content = content;
+    l.entry.topDirectory = top;
+    l.entry.contentListed = content;
     add(std::move(l));
 }
 
@@ -135,7 +135,7 @@
     if (task.kind != TaskKind::Pattern) return;
     for (auto match = task.matches.rbegin(); match != task.matches.rend(); ++match)
         tasks_.push_front({TaskKind::Argument, {*match, false, 0, ""}, "", "", {}});
-    if (task.matches.empty() && !options_.ignoreMissing)
+    if (task.matches.empty() && !options_.ignoreMissingArguments)
         addError("\"" + task.path.path + "\" is not there (in " + volume_ + ")");
 }
 
@@ -164,7 +164,7 @@
     if (path == volume) path.clear();
     else if (path.rfind(volume + "/", 0) == 0) path.erase(0, volume.size() + 1);
     out.trailingSlash = path.empty() || path.back() == '/';
-    // Drops empty and "." components; ".." is rejected by faultOfName() below.
+    // Drops empty and "." components; ".." is rejected by invalidNameReason() below.
     std::string normalized;
     for (std::size_t at = 0; at <= path.size();) {
         const auto slash = std::min(path.find('/', at), path.size());
@@ -178,7 +178,7 @@
     if (out.baseLength > normalized.size())
         out.baseLength = normalized.size();  // the whole path: the directory itself is the list's top
     if (!normalized.empty()) {
-        const auto why = wire::rsync::faultOfName(normalized);
+        const auto why = wire::rsync::invalidNameReason(normalized);
         if (!why.empty()) out.error = "\"" + normalized.substr(0, 200) + "\" " + why;
     }
     return out;
--- a/src/fronts/rsync/listing.hpp
+++ b/src/fronts/rsync/listing.hpp
@@ -27,7 +27,7 @@
     std::string path;
     bool trailingSlash = false;
     std::size_t baseLength = 0;  // of the part before "/./", with its slash
-    std::string error;           // why the path is refused (faultOfName()); empty if it is valid
+    std::string error;           // why the path is refused (invalidNameReason()); empty if it is valid
 };
 ModulePath parseModulePath(const std::string& volume, const std::string& argument);
 
--- a/src/fronts/rsync/receiving.cpp
+++ b/src/fronts/rsync/receiving.cpp
@@ -37,7 +37,7 @@
     const auto& o = parameters_.options;
     listReader_ = std::make_unique<ListReader>(listForm(parameters_));
     // The client sends filter rules only with these options.
-    if (!o.remove && !o.pruneEmpty) state_ = State::List;
+    if (!o.deleteExtraneous && !o.pruneEmptyDirectories) state_ = State::List;
     target_ = parseModulePath(parameters_.volume->name, o.paths.empty() ? "" : o.paths.back());
     if (!target_.error.empty()) fail("path " + target_.error);
     if (o.backupDir.empty()) return;
@@ -64,8 +64,8 @@
         ++unreportedErrors_;
         return;
     }
-    channel_.sendMessage(Message::ErrorXfer, "spokewheel: \"" + path + "\" (in " + parameters_.volume->name +
-                                                 "): " + reason + "\n");
+    channel_.sendMessage(MessageTag::ErrorXfer, "spokewheel: \"" + path + "\" (in " +
+                                                    parameters_.volume->name + "): " + reason + "\n");
     context_.logEvent("file_not_stored", "", path + ": " + reason);
 }
 
@@ -177,11 +177,11 @@
         const auto before = in.size();
         FileEntry entry;
         switch (listReader_->next(in, entry)) {
-            case ListReader::Got::More:
+            case ListReader::Result::NeedMore:
                 return false;
-            case ListReader::Got::Bad:
+            case ListReader::Result::Invalid:
                 return fail("file list: " + listReader_->error());
-            case ListReader::Got::Entry:
+            case ListReader::Result::Entry:
                 channel_.consume(before - in.size());
                 if (list_.size() >= context_.settings.listEntries)
                     return fail("more than " + std::to_string(context_.settings.listEntries) + " files");
@@ -196,7 +196,7 @@
                 sorter_.add(entry);
                 list_.push_back(std::move(entry));
                 break;
-            case ListReader::Got::End:
+            case ListReader::Result::End:
                 channel_.consume(before - in.size());
                 sorted_.reserve(list_.size());
                 state_ = State::Sort;
@@ -227,11 +227,11 @@
 
 // Sorting and planning run in slices, so that other sessions can proceed in between.
 bool ReceivingSide::sortStep() {
-    bool done = sorter_.step(ListSorter::kMovesAnEntry * context_.listSlice);
+    bool done = sorter_.step(ListSorter::kMovesPerEntry * context_.listSlice);
     if (done) {
         const auto& order = sorter_.order();
         for (std::size_t n = 0; n < context_.listSlice && sorted_.size() < order.size(); ++n)
-            putSorted(sorted_, keptCount_, std::move(list_[order[sorted_.size()]]));
+            appendSorted(sorted_, keptCount_, std::move(list_[order[sorted_.size()]]));
         done = sorted_.size() == order.size();
     }
     if (!done) return resumeNextTurn();
@@ -257,7 +257,7 @@
         if (!parameters_.options.dryRun) metadataWrites_.push_back(std::move(write));
     }
     state_ = State::Plan;
-    if (parameters_.options.pruneEmpty) {
+    if (parameters_.options.pruneEmptyDirectories) {
         const auto empty = emptyDirectories();
         for (auto& e : list_)
             if (e.isDirectory() && empty.count(e.name)) e.dropped = true;
@@ -269,14 +269,14 @@
         if (n == context_.listSlice) return resumeNextTurn();
         const auto& e = list_[plannedCount_];
         if (e.dropped) continue;
-        if (const auto why = faultOfName(e.name); !why.empty()) reportFileError(e.name, "name " + why);
+        if (const auto why = invalidNameReason(e.name); !why.empty()) reportFileError(e.name, "name " + why);
         else if (!e.isDirectory() && !e.isFile())
             reportFileError(e.name, (e.mode & kTypeMask) == kSymlink
                                         ? "symlinks are not stored"
                                         : "devices and special files are not stored");
         else planEntry(static_cast<std::int32_t>(plannedCount_), pathOf(e));
     }
-    if (parameters_.options.remove) planDeletions();
+    if (parameters_.options.deleteExtraneous) planDeletions();
     state_ = State::Transfer;
     return true;
 }
@@ -308,7 +308,7 @@
     if (!existing || existing->kind != Kind::File) return;
     const auto to = backupPathFor(path);
     if (to.empty() || to == path || parameters_.options.dryRun) return;
-    if (const auto why = faultOfName(to); !why.empty()) return reportFileError(to, "name " + why);
+    if (const auto why = invalidNameReason(to); !why.empty()) return reportFileError(to, "name " + why);
     auto write = std::make_shared<MetadataWrite>();
     write->version = *existing;
     write->version.path = to;
@@ -326,7 +326,7 @@
         if (path.empty()) return;
         const bool exists = catalogue.isDirectory(volume, path);
         const auto& o = parameters_.options;
-        if (!exists && o.existing) return;
+        if (!exists && o.existingOnly) return;
         if (exists && existing && existing->kind == Kind::File) return reportFileError(path, "is a file");
         const bool sameTimes = !o.times || o.omitDirTimes || (existing && existing->mtime == e.mtime);
         const bool sameMode = !o.perms || (existing && existing->mode == (e.mode & 07777));
@@ -359,7 +359,7 @@
 void ReceivingSide::updateAttributes(std::int32_t index, const catalogue::FileVersionPtr& existing) {
     const auto& o = parameters_.options;
     const auto& e = list_[static_cast<std::size_t>(index)];
-    if (o.removeSource) reportSuccess(index);
+    if (o.removeSourceFiles) reportSuccess(index);
     // A time within the window is kept, but with --checksum it must match to the second.
     const int window = o.checksum ? 0 : o.modifyWindow;
     const bool times = o.times && !sameTime(e.mtime, e.nsec, existing->mtime, existing->nsec, window);
@@ -386,7 +386,7 @@
         // Dropped entries are duplicates, which another entry names, or pruned directories.
         if (e.dropped) continue;
         listed.insert(pathOf(e));
-        if (e.isDirectory() && e.content) completeDirectories.insert(pathOf(e));
+        if (e.isDirectory() && e.contentListed) completeDirectories.insert(pathOf(e));
     }
     const auto skip = target_.path.empty() ? 0 : target_.path.size() + 1;
     const auto existing = parameters_.store->catalogue().entriesBelow(parameters_.volume->name, target_.path);
@@ -416,11 +416,11 @@
     }
     const auto skipped = found.skipped;
     if (skipped == 0) return;
-    channel_.sendMessage(Message::Warning, "Deletions stopped due to --max-delete limit (" +
-                                               std::to_string(skipped) + " skipped)\n");
+    channel_.sendMessage(MessageTag::Warning, "Deletions stopped due to --max-delete limit (" +
+                                                  std::to_string(skipped) + " skipped)\n");
     std::string code;
     putU32(code, kIoErrorDeleteLimit);
-    channel_.sendMessage(Message::IoError, code);
+    channel_.sendMessage(MessageTag::IoError, code);
 }
 
 // Whether the path lies in the backup directory or above it. Backups are not in the client's list, but must
@@ -441,7 +441,7 @@
     if (parameters_.options.dryRun) return;
     std::string text;
     putU32(text, static_cast<std::uint32_t>(index));
-    channel_.sendMessage(Message::Success, text);
+    channel_.sendMessage(MessageTag::Success, text);
 }
 
 // ---------------------------------------------------------------- metadata writes
@@ -461,7 +461,7 @@
 void ReceivingSide::runMetadataWrite(std::shared_ptr<MetadataWrite> write) {
     const auto& source = write->contentSource;
     auto& v = write->version;
-    if (!write->deletedName.empty()) channel_.sendMessage(Message::Deleted, write->deletedName);
+    if (!write->deletedName.empty()) channel_.sendMessage(MessageTag::Deleted, write->deletedName);
     if (parameters_.options.dryRun) {
         --openMetadataWrites_;
         return;
@@ -541,11 +541,11 @@
     return any;
 }
 
-void ReceivingSide::onMessage(const Demux::Beside& message) {
-    if (message.kind != Message::NoSend) return;
+void ReceivingSide::onMessage(const Demux::Message& message) {
+    if (message.tag != MessageTag::NoSend) return;
     Reader r(message.payload);
     const auto index = r.i32();
-    if (r.enough()) requested_.erase(index), basisByIndex_.erase(index);
+    if (r.complete()) requested_.erase(index), basisByIndex_.erase(index);
 }
 
 // ---------------------------------------------------------------- receiving files
@@ -560,26 +560,26 @@
     auto coder = indexIn_;
     Reader r(channel_.input());
     const auto index = coder.get(r);
-    if (!r.enough()) return false;
-    if (index == kDone) {
+    if (!r.complete()) return false;
+    if (index == kIndexDone) {
         indexIn_ = coder;
-        channel_.consume(r.used());
+        channel_.consume(r.consumed());
         if (++doneReceived_ > doneSent_) return fail("a round ended that was not");
         requested_.clear();
         return true;
     }
     const auto flags = r.u16();
     if (flags & kItemBasisTypeFollows) r.byte();
-    if (flags & kItemNameFollows) r.vstring(kMostName);
+    if (flags & kItemNameFollows) r.vstring(kMaxPathBytes);
     const bool content = (flags & kItemTransfer) && !parameters_.options.dryRun;
     if (content) getSumHead(r);
-    if (r.bad()) return fail(r.why());
-    if (!r.enough()) return false;
+    if (r.failed()) return fail(r.error());
+    if (!r.complete()) return false;
     if (index < 0 || static_cast<std::size_t>(index) >= list_.size())
         return fail("file index " + std::to_string(index) + " out of range");
     if (content && !requested_.count(index)) return fail("a file came that was not asked for");
     indexIn_ = coder;
-    channel_.consume(r.used());
+    channel_.consume(r.consumed());
     if (!content) {
         requested_.erase(index);
         return true;
@@ -630,7 +630,7 @@
     auto in = channel_.input();
     const auto before = in.size();
     if (expectsChecksum_) {
-        const auto n = sizeOf(parameters_.checksumKind);
+        const auto n = sumSize(parameters_.checksumKind);
         if (in.size() < n) return false;
         const std::string sum(in.substr(0, n));
         channel_.consume(n);
@@ -639,7 +639,7 @@
     }
     if (!reservePiece()) return false;
     const auto token = tokenReader_.next(in);
-    if (token.kind == Token::Kind::Bad) return fail("file content: " + tokenReader_.error());
+    if (token.kind == Token::Kind::Invalid) return fail("file content: " + tokenReader_.error());
     if (token.kind == Token::Kind::Literal && f.error.empty()) {
         f.add(token.literal);
         if (f.pieceBuffer.size() >= context_.settings.pieceBytes) storeFullPieces(currentFile_);
@@ -650,7 +650,7 @@
     }
     if (token.kind == Token::Kind::End) expectsChecksum_ = true;
     channel_.consume(before - in.size());
-    return token.kind != Token::Kind::More || before != in.size();
+    return token.kind != Token::Kind::NeedMore || before != in.size();
 }
 
 // Hands full pieces of the buffer to the store, and the rest once all content has come.
@@ -739,7 +739,7 @@
         *parameters_.volume, file.version, std::make_shared<const std::string>(std::move(content)),
         trackRequest<WriteResult>(ticket, [this, path, index = file.index, contentOwner](WriteResult r) {
             if (!r.ok) reportFileError(path, r.error);
-            else if (parameters_.options.removeSource) reportSuccess(index);
+            else if (parameters_.options.removeSourceFiles) reportSuccess(index);
         }));
 }
 
@@ -759,7 +759,7 @@
 bool ReceivingSide::advancePhase() {
     if (!requestQueue_.empty() || preparingBasis_) return false;
     if (doneSent_ == 0) {
-        indexOut_.put(channel_.output(), kDone);
+        indexOut_.put(channel_.output(), kIndexDone);
         doneSent_ = 1;
         return true;
     }
@@ -772,19 +772,20 @@
             if (!requestQueue_.empty()) return false;
         }
         if (doneSent_ == 2 && (!commitDelayed() || !writesDone())) return false;
-        indexOut_.put(channel_.output(), kDone);
+        indexOut_.put(channel_.output(), kIndexDone);
         ++doneSent_;
         return true;
     }
     if (unreportedErrors_ > 0) {
         const auto n = std::to_string(std::exchange(unreportedErrors_, 0));
-        channel_.sendMessage(Message::ErrorXfer, "spokewheel: " + n + " more files were not stored\n");
+        channel_.sendMessage(MessageTag::ErrorXfer, "spokewheel: " + n + " more files were not stored\n");
     }
-    if (parameters_.options.remove && parameters_.options.deleteStats && parameters_.protocol >= 31) {
-        indexOut_.put(channel_.output(), kDeleteStats);
+    if (parameters_.options.deleteExtraneous && parameters_.options.deleteStats &&
+        parameters_.protocol >= 31) {
+        indexOut_.put(channel_.output(), kIndexDeleteStats);
         for (const int n : {deleted_, deletedDirectories_, 0, 0, 0}) putVarint(channel_.output(), n);
     }
-    indexOut_.put(channel_.output(), kDone);
+    indexOut_.put(channel_.output(), kIndexDone);
     state_ = parameters_.protocol >= 31 ? State::Goodbye : State::Finished;
     return state_ != State::Finished;
 }
@@ -793,11 +794,11 @@
     Reader r(channel_.input());
     auto coder = indexIn_;
     const auto index = coder.get(r);
-    if (!r.enough()) return false;
-    if (r.bad() || index != kDone) return fail("unexpected index at the end");
+    if (!r.complete()) return false;
+    if (r.failed() || index != kIndexDone) return fail("unexpected index at the end");
     indexIn_ = coder;
-    channel_.consume(r.used());
-    indexOut_.put(channel_.output(), kDone);
+    channel_.consume(r.consumed());
+    indexOut_.put(channel_.output(), kIndexDone);
     state_ = State::Finished;
     return false;
 }
--- a/src/fronts/rsync/receiving.hpp
+++ b/src/fronts/rsync/receiving.hpp
@@ -24,7 +24,7 @@
                   std::function<void()> wake);
     ~ReceivingSide() override;
     bool advance() override;
-    void onMessage(const wire::rsync::Demux::Beside& message) override;
+    void onMessage(const wire::rsync::Demux::Message& message) override;
     bool hasPendingWork() const override {
         return !openRequests_.empty() || preparingBasis_ || state_ == State::Sort || state_ == State::Plan;
     }
--- a/src/fronts/rsync/sending.cpp
+++ b/src/fronts/rsync/sending.cpp
@@ -59,8 +59,8 @@
     const auto& o = parameters.options;
     wire::rsync::ListForm form;
     form.protocol = parameters.protocol;
-    form.varintFlags = parameters.compatFlags & kVarintFlags;
-    form.safeEnd = parameters.compatFlags & kSafeList;
+    form.varintFlags = parameters.compatFlags & kCompatVarintFlags;
+    form.safeFileList = parameters.compatFlags & kCompatSafeFileList;
     form.uids = o.uids;
     form.gids = o.gids;
     form.idNames = !o.numericIds;
@@ -68,21 +68,21 @@
     form.devices = o.devices;
     form.specials = o.specials;
     form.hardLinks = o.hardLinks;
-    form.sumBytes = o.checksum ? sizeOf(parameters.listChecksumKind) : 0;
+    form.sumBytes = o.checksum ? sumSize(parameters.listChecksumKind) : 0;
     return form;
 }
 
 FilterRuleResult readFilterRule(Channel& channel, Filter& filter, std::string& error) {
     Reader r(channel.input());
     const auto n = r.u32();
-    if (r.enough() && n > kMostName + 16) {
+    if (r.complete() && n > kMaxPathBytes + 16) {
         error = "filter rule too long";
         return FilterRuleResult::Invalid;
     }
     const auto rule = r.bytes(n);
-    if (!r.enough()) return FilterRuleResult::NeedInput;
+    if (!r.complete()) return FilterRuleResult::NeedInput;
     error = n ? filter.add(rule) : "";
-    channel.consume(r.used());
+    channel.consume(r.consumed());
     if (error.empty()) return n ? FilterRuleResult::Rule : FilterRuleResult::End;
     error = "not supported: " + error;
     return FilterRuleResult::Invalid;
@@ -96,7 +96,7 @@
       channel_(channel),
       filter_(wire::rsync::Filter::Side::Sender),
       tokenWriter_(parameters_.options.compress, parameters_.options.compressLevel),
-      throttle_(parameters_.options.bytesPerS) {
+      throttle_(parameters_.options.bytesPerSecond) {
     for (const auto& p : parameters_.options.paths)
         paths_.push_back(parseModulePath(parameters_.volume->name, p));
 }
@@ -207,7 +207,7 @@
     const auto in = channel_.input();
     const auto end =
         parameters_.options.from0 ? in.find('\0') : in.find_first_of(std::string_view("\0\n\r", 3));
-    if (end == in.npos) return in.size() > kMostName ? fail("name in --files-from too long") : false;
+    if (end == in.npos) return in.size() > kMaxPathBytes ? fail("name in --files-from too long") : false;
     const std::string name(in.substr(0, end));
     channel_.consume(end + 1);
     if (!name.empty()) {
@@ -270,7 +270,7 @@
         listing_.errors.emplace_back("not all storage nodes have been read yet");
     for (const auto& error : listing_.errors) {
         ioError_ = kIoErrorGeneral;
-        channel_.sendMessage(Message::ErrorXfer, "spokewheel: " + error + "\n");
+        channel_.sendMessage(MessageTag::ErrorXfer, "spokewheel: " + error + "\n");
     }
     listWriter_ = std::make_unique<ListWriter>(listForm(parameters_));
     state_ = State::SendList;
@@ -331,12 +331,12 @@
         Reader r(channel_.input());
         auto request = std::make_shared<ClientRequest>();
         request->index = coder.get(r);
-        if (!r.enough()) break;
-        if (r.bad()) return fail(r.why());
-        if (request->index == kDone) {
+        if (!r.complete()) break;
+        if (r.failed()) return fail(r.error());
+        if (request->index == kIndexDone) {
             request->marker = request->done = true;
             ++phasesSeen_;
-        } else if (request->index == kDeleteStats) {
+        } else if (request->index == kIndexDeleteStats) {
             request->marker = true;
             for (int i = 0; i < 5; ++i) putVarint(request->echo, r.varint());
         } else {
@@ -344,14 +344,15 @@
                 return fail("file index " + std::to_string(request->index) + " out of range");
             request->flags = r.u16();
             if (request->flags & kItemBasisTypeFollows) request->echoedFields += static_cast<char>(r.byte());
-            if (request->flags & kItemNameFollows) putVstring(request->echoedFields, r.vstring(kMostName));
+            if (request->flags & kItemNameFollows)
+                putVstring(request->echoedFields, r.vstring(kMaxPathBytes));
             request->transfer = request->flags & kItemTransfer;
             if (request->transfer && !parameters_.options.dryRun) request->sums.head = getSumHead(r);
         }
-        if (r.bad()) return fail(r.why());
-        if (!r.enough()) break;
+        if (r.failed()) return fail(r.error());
+        if (!r.complete()) break;
         indexIn_ = coder;
-        channel_.consume(r.used());
+        channel_.consume(r.consumed());
         any = true;
         if (request->marker) {
             requests_.push_back(std::move(request));
@@ -360,7 +361,7 @@
         if (request->sums.head.count > kMaxBlocks) return fail("too many blocks for one file");
         preparePieces(*request);
         sumsLeft_ = request->sums.head.count;
-        request->sumBytes = static_cast<std::size_t>(sumsLeft_) * (4 + kSumBytes);
+        request->sumBytes = static_cast<std::size_t>(sumsLeft_) * (4 + kMaxStrongSumBytes);
         heldSumBytes_ += request->sumBytes;
         if (sumsLeft_ > 0) awaitingSums_ = std::move(request);
         else requests_.push_back(std::move(request));
@@ -449,7 +450,7 @@
         auto& request = *requests_.front();
         if (request.marker) {
             if (request.done) {
-                indexOut_.put(channel_.output(), kDone);
+                indexOut_.put(channel_.output(), kIndexDone);
                 if (phasesSeen_ >= 3 && requests_.size() == 1) {
                     const auto totalSize = [this] {
                         std::int64_t sum = 0;
@@ -462,7 +463,7 @@
                     state_ = State::Goodbye;
                 }
             } else {
-                indexOut_.put(channel_.output(), kDeleteStats);
+                indexOut_.put(channel_.output(), kIndexDeleteStats);
                 channel_.output() += request.echo;
             }
         } else if (!writeResponse(request)) break;
@@ -494,8 +495,9 @@
         request.headerSent = true;
         if (!request.transfer) return true;
         putSumHead(out, request.sums.head);
-        request.matcher = std::make_unique<Matcher>(std::move(request.sums), parameters_.checksumKind, md5,
-                                                    parameters_.checksumSeed, parameters_.seedFirst());
+        request.matcher =
+            std::make_unique<BlockMatcher>(std::move(request.sums), parameters_.checksumKind, md5,
+                                           parameters_.checksumSeed, parameters_.seedFirst());
         // For xxh128 the stored digest is sent, so nothing is computed.
         if (parameters_.checksumKind != SumKind::Xxh128)
             request.checksum = std::make_unique<FileSum>(parameters_.checksumKind);
@@ -535,7 +537,7 @@
     contentBytesWritten_ += bytes.size();
     if (request.checksum) request.checksum->add(bytes);
     // Without blocks to match and without compression the bytes are sent as they are.
-    if (!request.matcher->matches() && !parameters_.options.compress) channel_.writeLiteral(bytes);
+    if (!request.matcher->hasBlocks() && !parameters_.options.compress) channel_.writeLiteral(bytes);
     else request.matcher->feed(bytes, tokenWriter_, channel_.output());
 }
 
@@ -553,9 +555,9 @@
         // Failed half-way: a checksum that cannot match makes the client discard the content and request the
         // file again in the second phase, as the original sender does on a read error.
         for (auto& c : sum) c = static_cast<char>(~c);
-        channel_.sendMessage(Message::ErrorXfer, "spokewheel: reading \"" + request.version->path +
-                                                     "\" (in " + parameters_.volume->name +
-                                                     ") broke off: " + request.error + "\n");
+        channel_.sendMessage(MessageTag::ErrorXfer, "spokewheel: reading \"" + request.version->path +
+                                                        "\" (in " + parameters_.volume->name +
+                                                        ") broke off: " + request.error + "\n");
         context_.logEvent("file_broken_off", "", request.version->path + ": " + request.error);
     }
     out += sum;
@@ -569,11 +571,12 @@
 // Reports a file that cannot be sent at all.
 void SendingSide::refuseFile(ClientRequest& request) {
     const auto path = listing_.files[static_cast<std::size_t>(request.index)].entry.name;
-    channel_.sendMessage(Message::ErrorXfer, "spokewheel: \"" + path + "\" (in " + parameters_.volume->name +
-                                                 ") was not sent: " + request.error + "\n");
+    channel_.sendMessage(MessageTag::ErrorXfer, "spokewheel: \"" + path + "\" (in " +
+                                                    parameters_.volume->name +
+                                                    ") was not sent: " + request.error + "\n");
     std::string index;
     putU32(index, static_cast<std::uint32_t>(request.index));
-    channel_.sendMessage(Message::NoSend, index);
+    channel_.sendMessage(MessageTag::NoSend, index);
     context_.logEvent("file_not_sent", "", path + ": " + request.error);
     for (auto& [i, read] : request.reads) {
         if (!read.ready) parameters_.store->abandon(read.requestId), --openReads_;
@@ -587,15 +590,16 @@
     Reader r(channel_.input());
     auto coder = indexIn_;
     const auto index = coder.get(r);
-    if (index == kDeleteStats)
+    if (index == kIndexDeleteStats)
         for (int i = 0; i < 5; ++i) r.varint();
-    if (!r.enough()) return false;
-    if (r.bad() || (index != kDone && index != kDeleteStats)) return fail("unexpected index at the end");
+    if (!r.complete()) return false;
+    if (r.failed() || (index != kIndexDone && index != kIndexDeleteStats))
+        return fail("unexpected index at the end");
     indexIn_ = coder;
-    channel_.consume(r.used());
-    if (index == kDeleteStats) return true;
+    channel_.consume(r.consumed());
+    if (index == kIndexDeleteStats) return true;
     if (++goodbyesSeen_ == 1 && parameters_.protocol >= 31) {
-        indexOut_.put(channel_.output(), kDone);
+        indexOut_.put(channel_.output(), kIndexDone);
         return true;
     }
     state_ = State::Finished;
--- a/src/fronts/rsync/sending.hpp
+++ b/src/fronts/rsync/sending.hpp
@@ -49,7 +49,7 @@
         std::map<std::size_t, PieceRead> reads;
         std::size_t piecesRequested = 0, piecesWritten = 0;
         std::string error;
-        std::unique_ptr<wire::rsync::Matcher> matcher;
+        std::unique_ptr<wire::rsync::BlockMatcher> matcher;
         std::unique_ptr<FileSum> checksum;
     };
     using ClientRequestPtr = std::shared_ptr<ClientRequest>;
--- a/src/fronts/rsync/session.cpp
+++ b/src/fronts/rsync/session.cpp
@@ -80,7 +80,7 @@
                                  if (const auto s = weak.lock()) s->teardown();
                              }});
     startedMs_ = lastProgressMs_ = io::nowMs();
-    channel_->writeRaw(greeting(kAuthDigests));
+    channel_->writeRaw(formatGreeting(kAuthDigests));
     watchIdle();
 }
 
@@ -140,7 +140,7 @@
 bool Session::takeLine(std::string& line, char end) {
     const auto in = channel_->input();
     const auto at = in.find(end);
-    const auto maxLength = end == '\0' ? kMostArgument : kMostLine;
+    const auto maxLength = end == '\0' ? kMaxArgumentBytes : kMaxLineBytes;
     if (at == in.npos || at > maxLength) {
         if (in.size() > maxLength) refuse("line too long");
         return false;
@@ -181,8 +181,8 @@
             if (!takeLine(line, '\0')) return false;
             argumentBytes_ += line.size() + 1;
             if (line.empty()) onArguments();
-            else if (arguments_.size() + secluded_.size() >= kMostArguments ||
-                     argumentBytes_ > kMostArgumentBytes)
+            else if (arguments_.size() + secluded_.size() >= kMaxArguments ||
+                     argumentBytes_ > kMaxTotalArgumentBytes)
                 refuse("too many arguments");
             else (inSecluded_ ? secluded_ : arguments_).push_back(line);
             return true;
@@ -191,7 +191,7 @@
         case State::Stream: {
             for (const auto& m : channel_->takeMessages()) {
                 // The client reported an error and waits for this side to close the connection.
-                if (m.kind == Message::ErrorExit) {
+                if (m.tag == MessageTag::ErrorExit) {
                     context_.logEvent("client_gave_up", name_, "");
                     return close(), false;
                 }
@@ -242,7 +242,7 @@
 
 // The client gets the same message for every kind of failed login; only the log tells them apart.
 void Session::onAuth(const std::string& line) {
-    const auto digest = choose(digests_, kAuthDigests);
+    const auto digest = chooseCommon(digests_, kAuthDigests);
     const auto space = line.find(' ');
     const auto user = line.substr(0, space);
     const auto given = space == line.npos ? "" : line.substr(space + 1);
@@ -270,7 +270,7 @@
 void Session::onArguments() {
     if (!secluded_.empty()) secluded_.erase(secluded_.begin());  // the program name
     auto parsed = parseOptions(arguments_, secluded_);
-    if (parsed.options.secluded && !std::exchange(inSecluded_, true))
+    if (parsed.options.secludedArguments && !std::exchange(inSecluded_, true))
         return;  // the rest follows in a second list
     parameters_.options = std::move(parsed.options);
     optionError_ = parsed.error.empty() ? "" : "not supported: " + parsed.error;
@@ -287,7 +287,7 @@
 void Session::sendNegotiation() {
     std::string out;
     putVarint(out, static_cast<std::int32_t>(parameters_.compatFlags));
-    if (parameters_.compatFlags & kVarintFlags) {
+    if (parameters_.compatFlags & kCompatVarintFlags) {
         // If an option names the algorithm, neither side sends a list.
         if (negotiatesChecksum()) putVstring(out, "xxh128 xxh3 xxh64 md5");
         if (negotiatesCompression()) putVstring(out, "zstd");
@@ -297,18 +297,19 @@
 }
 
 bool Session::readNegotiation() {
-    if (parameters_.compatFlags & kVarintFlags) {
+    if (parameters_.compatFlags & kCompatVarintFlags) {
         Reader r(channel_->input());
-        const auto checksums = negotiatesChecksum() ? words(r.vstring(512)) : kChecksums;
-        const auto compressors = negotiatesCompression() ? words(r.vstring(512)) : kCompressors;
-        if (r.bad()) return refuse("malformed negotiation"), false;
-        if (!r.enough()) return false;
-        channel_->consume(r.used());
-        const auto sum = choose(checksums, kChecksums);
+        const auto checksums = negotiatesChecksum() ? splitWords(r.vstring(512)) : kChecksums;
+        const auto compressors = negotiatesCompression() ? splitWords(r.vstring(512)) : kCompressors;
+        if (r.failed()) return refuse("malformed negotiation"), false;
+        if (!r.complete()) return false;
+        channel_->consume(r.consumed());
+        const auto sum = chooseCommon(checksums, kChecksums);
         if (negotiatesChecksum())
-            parameters_.checksumKind = parameters_.listChecksumKind = sumKind(sum).value_or(SumKind::Md5);
+            parameters_.checksumKind = parameters_.listChecksumKind =
+                parseSumKind(sum).value_or(SumKind::Md5);
         if (sum.empty()) optionError_ = "no checksum in common: xxh128 or md5 is needed";
-        if (choose(compressors, kCompressors).empty())
+        if (chooseCommon(compressors, kCompressors).empty())
             optionError_ = "no compression in common: zstd is needed";
     } else if (negotiatesCompression())
         optionError_ = "not supported: option -z without zstd (an older client)";
@@ -348,8 +349,8 @@
     const auto& choice = parameters_.options.checksumChoice;
     if (choice.empty()) return;
     const auto comma = std::min(choice.find(','), choice.size());
-    const auto first = sumKind(choice.substr(0, comma));
-    const auto second = comma == choice.size() ? first : sumKind(choice.substr(comma + 1));
+    const auto first = parseSumKind(choice.substr(0, comma));
+    const auto second = comma == choice.size() ? first : parseSumKind(choice.substr(comma + 1));
     if (first && second) parameters_.checksumKind = *first, parameters_.listChecksumKind = *second;
     else if (optionError_.empty())
         optionError_ = "not supported: option --checksum-choice=" + choice.substr(0, 100) +
@@ -379,7 +380,7 @@
         auto keepAlive = std::make_shared<std::function<void()>>();
         *keepAlive = [this, intervalMs, weakKeepAlive = std::weak_ptr(keepAlive)] {
             if (state_ != State::Stream) return;
-            if (!channel_->blocked()) channel_->sendMessage(Message::Noop, "");
+            if (!channel_->blocked()) channel_->sendMessage(MessageTag::Noop, "");
             if (const auto again = weakKeepAlive.lock())
                 keepAliveTimer_.arm(intervalMs, [again] { (*again)(); });
         };
@@ -395,11 +396,11 @@
 
 void Session::fail(const std::string& message, int code) {
     if (state_ < State::Stream && state_ != State::Negotiation) return refuse(message);
-    channel_->sendMessage(Message::Error, "spokewheel: " + message + "\n");
+    channel_->sendMessage(MessageTag::Error, "spokewheel: " + message + "\n");
     if (parameters_.protocol >= 31) {
         std::string text;
         putU32(text, static_cast<std::uint32_t>(code));
-        channel_->sendMessage(Message::ErrorExit, text);
+        channel_->sendMessage(MessageTag::ErrorExit, text);
     }
     close();
 }
--- a/src/wire/rsync/bytes.cpp
+++ b/src/wire/rsync/bytes.cpp
@@ -5,8 +5,8 @@
 namespace spokewheel::wire::rsync {
 namespace {
 
-// How many bytes follow a first byte: the number of its leading ones.
-std::size_t extraOf(std::uint8_t first) {
+// The number of extra bytes that a first byte announces: that of its leading one bits.
+std::size_t extraBytes(std::uint8_t first) {
     std::size_t n = 0;
     while (n < 6 && (first & (0x80u >> n))) ++n;
     return n;
@@ -15,12 +15,12 @@
 }  // namespace
 
 std::string_view Reader::bytes(std::size_t n) {
-    if (short_ || in_.size() - at_ < n) {
-        short_ = true;
+    if (truncated_ || in_.size() - position_ < n) {
+        truncated_ = true;
         return {};
     }
-    const auto out = in_.substr(at_, n);
-    at_ += n;
+    const auto out = in_.substr(position_, n);
+    position_ += n;
     return out;
 }
 std::uint8_t Reader::byte() {
@@ -37,28 +37,28 @@
 }
 std::int32_t Reader::varint() {
     const auto first = byte();
-    const auto extra = extraOf(first);
+    const auto extra = extraBytes(first);
     if (extra > 4) return fail("integer too long"), 0;
     std::uint64_t x = 0;
     for (std::size_t i = 0; i < extra; ++i) x |= std::uint64_t(byte()) << (8 * i);
     const std::uint64_t top = extra ? first & ((1u << (8 - extra)) - 1) : first;
     return static_cast<std::int32_t>(static_cast<std::uint32_t>(x | top << (8 * extra)));
 }
-std::int64_t Reader::varlong(std::size_t least) {
+std::int64_t Reader::varlong(std::size_t minBytes) {
     const auto first = byte();
-    const auto extra = extraOf(first);
-    if (least + extra > 9) return fail("long integer too long"), 0;
+    const auto extra = extraBytes(first);
+    if (minBytes + extra > 9) return fail("long integer too long"), 0;
     std::uint64_t x = 0;
-    const auto low = least - 1 + extra;
-    for (std::size_t i = 0; i < low; ++i) x |= std::uint64_t(byte()) << (8 * i);
+    const auto lowBytes = minBytes - 1 + extra;
+    for (std::size_t i = 0; i < lowBytes; ++i) x |= std::uint64_t(byte()) << (8 * i);
     const std::uint64_t top = extra ? first & ((1u << (8 - extra)) - 1) : first;
-    if (low < 8) x |= top << (8 * low);
+    if (lowBytes < 8) x |= top << (8 * lowBytes);
     return static_cast<std::int64_t>(x);
 }
-std::string_view Reader::vstring(std::size_t most) {
+std::string_view Reader::vstring(std::size_t maxBytes) {
     std::size_t n = byte();
     if (n & 0x80) n = (n & 0x7f) * 0x100 + byte();
-    if (n > most) return fail("string longer than " + std::to_string(most)), std::string_view();
+    if (n > maxBytes) return fail("string longer than " + std::to_string(maxBytes)), std::string_view();
     return bytes(n);
 }
 
@@ -75,23 +75,28 @@
     putU32(out, static_cast<std::uint32_t>(x >> 32));
 }
 namespace {
-void putLeast(std::string& out, std::uint64_t x, std::size_t most, std::size_t least) {
-    std::array<std::uint8_t, 9> b{};
-    for (std::size_t i = 0; i < most; ++i) b[i + 1] = static_cast<std::uint8_t>(x >> (8 * i));
-    std::size_t count = most;
-    while (count > least && b[count] == 0) --count;
-    const unsigned bit = 1u << (7 - count + least);
-    if (b[count] >= bit) {
+// Writes `x`, of at most `maxBytes` bytes, in the variable-length form: after the first byte at least
+// `minBytes` - 1 bytes follow. The leading one bits of the first byte count the bytes beyond those, and its
+// other bits hold the top of the value if it fits there.
+void putVariableLength(std::string& out, std::uint64_t x, std::size_t maxBytes, std::size_t minBytes) {
+    std::array<std::uint8_t, 9> encoded{};
+    for (std::size_t i = 0; i < maxBytes; ++i) encoded[i + 1] = static_cast<std::uint8_t>(x >> (8 * i));
+    std::size_t count = maxBytes;
+    while (count > minBytes && encoded[count] == 0) --count;
+    const unsigned topBit = 1u << (7 - count + minBytes);
+    if (encoded[count] >= topBit) {
         ++count;
-        b[0] = static_cast<std::uint8_t>(~(bit - 1));
-    } else if (count > least) b[0] = static_cast<std::uint8_t>(b[count] | ~(bit * 2 - 1));
-    else b[0] = b[count];
-    for (std::size_t i = 0; i < count; ++i) out += static_cast<char>(b[i]);
+        encoded[0] = static_cast<std::uint8_t>(~(topBit - 1));
+    } else if (count > minBytes) encoded[0] = static_cast<std::uint8_t>(encoded[count] | ~(topBit * 2 - 1));
+    else encoded[0] = encoded[count];
+    for (std::size_t i = 0; i < count; ++i) out += static_cast<char>(encoded[i]);
 }
 }  // namespace
-void putVarint(std::string& out, std::int32_t x) { putLeast(out, static_cast<std::uint32_t>(x), 4, 1); }
-void putVarlong(std::string& out, std::int64_t x, std::size_t least) {
-    putLeast(out, static_cast<std::uint64_t>(x), 8, least);
+void putVarint(std::string& out, std::int32_t x) {
+    putVariableLength(out, static_cast<std::uint32_t>(x), 4, 1);
+}
+void putVarlong(std::string& out, std::int64_t x, std::size_t minBytes) {
+    putVariableLength(out, static_cast<std::uint64_t>(x), 8, minBytes);
 }
 void putVstring(std::string& out, std::string_view text) {
     if (text.size() > 0x7f) out += static_cast<char>(text.size() / 0x100 + 0x80);
@@ -100,11 +105,11 @@
 }
 
 void IndexCoder::put(std::string& out, std::int32_t index) {
-    if (index == kDone) {
+    if (index == kIndexDone) {
         out += '\0';
         return;
     }
-    auto& last = index >= 0 ? positive_ : negative_;
+    auto& last = index >= 0 ? lastPositive_ : lastNegative_;
     if (index < 0) {
         out += '\xff';
         index = -index;
@@ -119,11 +124,11 @@
 }
 std::int32_t IndexCoder::get(Reader& in) {
     int first = in.byte();
-    if (!in.enough()) return kDone;
-    if (first == 0) return kDone;
+    if (!in.complete()) return kIndexDone;
+    if (first == 0) return kIndexDone;
     const bool negative = first == 0xff;
     if (negative) first = in.byte();
-    auto& last = negative ? negative_ : positive_;
+    auto& last = negative ? lastNegative_ : lastPositive_;
     std::int64_t index = 0;
     if (first == 0xfe) {
         const int high = in.byte();
@@ -134,8 +139,8 @@
             index |= std::int64_t(high & 0x7f) << 24;
         } else index = std::int64_t(last) + (high << 8) + in.byte();
     } else index = std::int64_t(last) + first;
-    if (!in.enough()) return kDone;
-    if (index > INT32_MAX) return in.fail("file index out of range"), kDone;
+    if (!in.complete()) return kIndexDone;
+    if (index > INT32_MAX) return in.fail("file index out of range"), kIndexDone;
     last = static_cast<std::int32_t>(index);
     return negative ? -last : last;
 }
--- a/src/wire/rsync/mux.hpp
+++ b/src/wire/rsync/mux.hpp
@@ -1,5 +1,6 @@
-// The multiplexed stream of the rsync protocol: frames of a four-byte head (tag and length) and a payload.
-// Data frames make up the byte stream of the session; the others are messages beside it. No I/O.
+// The multiplexed stream of the rsync protocol: frames with a header of four bytes (tag and length) and a
+// payload. Data frames carry the byte stream of the session; the others are out-of-band messages. Free of
+// I/O.
 #pragma once
 
 #include <cstdint>
@@ -9,9 +10,10 @@
 
 namespace spokewheel::wire::rsync {
 
-enum class Message : std::uint8_t {
+// Tags of frames (MSG_* in rsync).
+enum class MessageTag : std::uint8_t {
     Data = 0,
-    ErrorXfer = 1,  // an error that ends in the client's "some files were not transferred" (23)
+    ErrorXfer = 1,  // an error that makes the client exit with "some files were not transferred" (23)
     Info = 2,
     Error = 3,
     Warning = 4,
@@ -30,27 +32,28 @@
     NoSend = 102
 };
 
-void putFrameHead(std::string& out, Message kind, std::size_t length);  // of at most 16 MiB
-void putFrame(std::string& out, Message kind, std::string_view payload);
+void putFrameHeader(std::string& out, MessageTag tag, std::size_t length);  // length: below 16 MiB
+// Splits the payload into several frames if it is too long for one.
+void putFrame(std::string& out, MessageTag tag, std::string_view payload);
 
-// Takes frames apart. Data is appended to the caller's buffer at once, however the input is split; other
-// messages are kept until they are whole and are at most `mostMessage` bytes long.
+// Demultiplexes a stream. Data is appended to the caller's buffer at once, however the input is split; other
+// messages are buffered until they are complete.
 class Demux {
   public:
-    struct Beside {
-        Message kind;
+    struct Message {
+        MessageTag tag;
         std::string payload;
     };
-    // False where the stream is not made of frames; error() tells.
-    bool feed(std::string_view in, std::string& data, std::vector<Beside>& beside);
+    // Consumes all of `in`. Returns false if the stream is malformed; error() holds the reason.
+    bool feed(std::string_view in, std::string& data, std::vector<Message>& messages);
     const std::string& error() const { return error_; }
-    static constexpr std::size_t mostMessage = 64 * 1024;
+    static constexpr std::size_t kMaxMessageBytes = 64 * 1024;  // longer messages are refused
 
   private:
-    std::string head_, payload_, error_;
-    Message kind_ = Message::Data;
-    std::size_t left_ = 0;
-    bool inside_ = false;
+    std::string header_, payload_, error_;
+    MessageTag tag_ = MessageTag::Data;
+    std::size_t payloadBytesLeft_ = 0;
+    bool inPayload_ = false;
 };
 
 }  // namespace spokewheel::wire::rsync
--- a/src/wire/rsync/options.hpp
+++ b/src/wire/rsync/options.hpp
@@ -1,5 +1,5 @@
-// What a client asks for in the lines and arguments before the stream: greeting, module, options, negotiated
-// names. No I/O; each refusal names what it refuses.
+// What a client requests in the lines and arguments before the multiplexed stream: greeting, options, filter
+// rules and negotiated names. Free of I/O. Error messages are for the client and name what is refused.
 #pragma once
 
 #include <cstdint>
@@ -11,44 +11,46 @@
 namespace spokewheel::wire::rsync {
 
 constexpr int kNewestProtocol = 32, kOldestProtocol = 30;
-constexpr int kMostBlockSize = 1 << 17;
-constexpr std::size_t kMostLine = 1024, kMostArgument = 8192, kMostArguments = 256,
-                      kMostArgumentBytes = 64 * 1024;
+constexpr int kMaxBlockSize = 1 << 17;
+constexpr std::size_t kMaxLineBytes = 1024, kMaxArgumentBytes = 8192, kMaxArguments = 256,
+                      kMaxTotalArgumentBytes = 64 * 1024;
 
 struct Greeting {
     int protocol = 0;
-    std::vector<std::string> digests;  // for authentication, best first; empty: an older client
+    std::vector<std::string> digests;  // for authentication, best first; empty from older clients
 };
-// "@RSYNCD: 31.0 sha512 md5"; nothing where it is none.
+// Parses a line such as "@RSYNCD: 31.0 sha512 md5"; nothing if it is no greeting.
 std::optional<Greeting> parseGreeting(std::string_view line);
-std::string greeting(const std::vector<std::string>& digests);
-// The first of theirs that is one of ours; empty where there is none.
-std::string choose(const std::vector<std::string>& theirs, const std::vector<std::string>& ours);
-std::vector<std::string> words(std::string_view text);
+// This side's greeting, with its line end.
+std::string formatGreeting(const std::vector<std::string>& digests);
+// The first of the client's names that this side supports as well; empty if there is none.
+std::string chooseCommon(const std::vector<std::string>& theirs, const std::vector<std::string>& ours);
+// Splits at spaces; repeated spaces yield no empty words.
+std::vector<std::string> splitWords(std::string_view text);
 
 struct Options {
-    bool sender = false;    // this side sends: the client pulls
-    bool secluded = false;  // more arguments follow in a list of their own
+    bool sender = false;             // this side sends: the client downloads
+    bool secludedArguments = false;  // --secluded-args: a second list of arguments follows
     // What is transferred.
     bool recurse = false, directories = false, relative = false, filesFrom = false, from0 = false,
-         listOnly = false, pruneEmpty = false, ignoreMissing = false;
-    // Which of it is wanted where something is there already.
-    bool checksum = false, ignoreTimes = false, sizeOnly = false, update = false, existing = false,
+         listOnly = false, pruneEmptyDirectories = false, ignoreMissingArguments = false;
+    // Which files are skipped.
+    bool checksum = false, ignoreTimes = false, sizeOnly = false, update = false, existingOnly = false,
          ignoreExisting = false;
-    int modifyWindow = 0;  // seconds; -1: nanoseconds count
+    int modifyWindow = 0;  // seconds; -1: times are compared to the nanosecond
     std::optional<std::uint64_t> minSize, maxSize;
-    // How.
+    // How files are transferred.
     bool dryRun = false, compress = false, wholeFile = false, partial = false, delayUpdates = false;
-    int compressLevel = 3, blockSize = 0;
-    std::uint64_t bytesPerS = 0;                 // 0: as fast as it goes
-    std::string checksumChoice, compressChoice;  // named by the client, so that neither side sends a list
+    int compressLevel = 3, blockSize = 0;        // blockSize 0: blockLength() of the file's size
+    std::uint64_t bytesPerSecond = 0;            // 0: unlimited
+    std::string checksumChoice, compressChoice;  // chosen by the client; empty: negotiated
     std::int32_t checksumSeed = 0;
-    // What is kept of it.
+    // Which attributes are kept.
     bool times = false, omitDirTimes = false, perms = false, executability = false, uids = false,
          gids = false, links = false, devices = false, specials = false, hardLinks = false,
-         numericIds = false;  // no names of owners follow the list
-    // What goes.
-    bool remove = false, removeExcluded = false, ignoreErrors = false, removeSource = false,
+         numericIds = false;  // no owner names follow the list
+    // What is deleted or backed up.
+    bool deleteExtraneous = false, deleteExcluded = false, ignoreErrors = false, removeSourceFiles = false,
          deleteStats = false;
     std::optional<std::uint64_t> maxDelete;
     bool backup = false;
@@ -56,51 +58,53 @@
 
     int verbose = 0;
     int timeoutS = 0;
-    std::string capabilities;  // letters the client sent with -e.
+    std::string capabilities;  // the client's letters after "-e."
     std::vector<std::string> paths;
-    bool can(char letter) const { return capabilities.find(letter) != std::string::npos; }
+    bool hasCapability(char letter) const { return capabilities.find(letter) != std::string::npos; }
 };
 struct ParsedOptions {
     Options options;
-    std::string error;  // names the option; empty where all is understood
+    std::string error;  // names the first option that is refused; empty if there is none
 };
-// `arguments` as they came; those of a secluded list (`more`, without its first, the program's name) are
-// taken as they are, the others lose the backslashes that the client puts before what a shell would read.
+// Parses the arguments of "rsync --server" as received. In `arguments` the backslashes are removed that the
+// client adds before characters special to a shell; `secluded`, the second list without its program name, is
+// taken verbatim.
 ParsedOptions parseOptions(const std::vector<std::string>& arguments,
-                           const std::vector<std::string>& more = {});
+                           const std::vector<std::string>& secluded = {});
 
-// What this side answers to the capabilities (compat flags), and what follows from it.
-constexpr std::uint32_t kSafeList = 1u << 3, kSeedFix = 1u << 5, kVarintFlags = 1u << 7;
+// Compatibility flags (CF_* in rsync) that this side sends for the client's capabilities.
+constexpr std::uint32_t kCompatSafeFileList = 1u << 3, kCompatChecksumSeedFix = 1u << 5,
+                        kCompatVarintFlags = 1u << 7;
 std::uint32_t compatFlags(const Options& options);
 
-// Include and exclude rules as a client sends them; the first that matches decides. A rule may be for one
-// side alone: what the sender hides, or what the receiver protects from deletion.
+// Include and exclude rules as a client sends them; the first that matches decides. A rule can apply to one
+// side only: to what the sender hides, or to what the receiver protects from deletion.
 class Filter {
   public:
     enum class Side { Sender, Receiver };
     explicit Filter(Side side) : side_(side) {}
-    // Empty, or why the rule can't be used.
+    // Returns why the rule is refused, or an empty string.
     std::string add(std::string_view rule);
-    // Names are relative to the top of the transfer. A directory above that is excluded excludes too.
+    // `name` is relative to the top of the transfer. A name below an excluded directory is excluded too.
     bool excluded(std::string_view name, bool directory) const;
     std::size_t size() const { return rules_.size(); }
-    static constexpr std::size_t kMostRules = 10000, kMostBytes = 1 << 20;
+    static constexpr std::size_t kMaxRules = 10000, kMaxRuleBytes = 1 << 20;
 
   private:
     struct Rule {
         std::string pattern;
         bool include = false, anchored = false, directoryOnly = false, negated = false;
-        bool wild = false, deep = false;       // has wildcards; has "**"
-        bool deepFirst = false, tree = false;  // begins with "**"; ends with "/***"
+        bool hasWildcards = false, hasDoubleStar = false;
+        bool startsWithDoubleStar = false, matchesTree = false;  // matchesTree: ends with "/***"
         std::size_t slashes = 0;
     };
     bool matches(const Rule& rule, std::string_view name, bool directory) const;
-    bool excludedItself(std::string_view name, bool directory) const;
+    bool excludedByRule(std::string_view name, bool directory) const;
     Side side_;
     std::vector<Rule> rules_;
-    std::size_t bytes_ = 0;
+    std::size_t totalRuleBytes_ = 0;
 };
-// Shell pattern as rsync has it: '*' and '?' and sets stop at '/', '**' does not.
+// Matches a shell pattern in rsync's dialect: '*', '?' and bracket expressions do not match '/', "**" does.
 bool wildMatch(std::string_view pattern, std::string_view text);
 
 }  // namespace spokewheel::wire::rsync
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -154,8 +154,8 @@
     s.send("@RSYNCD: 31.0 md5\nmaps\n");
     EXPECT_EQ(s.readLine(), "@RSYNCD: OK");
     std::string bytes = "--server\0--sender\0-re.f\0.\0maps/\0\0"s;
-    wire::rsync::putFrame(bytes, wire::rsync::Message::Data, "\0\0\0\0"s);  // empty filter list
-    wire::rsync::putFrame(bytes, wire::rsync::Message::ErrorExit, "\4\0\0\0"s);
+    wire::rsync::putFrame(bytes, wire::rsync::MessageTag::Data, "\0\0\0\0"s);  // empty filter list
+    wire::rsync::putFrame(bytes, wire::rsync::MessageTag::ErrorExit, "\4\0\0\0"s);
     s.send(bytes);
     EXPECT_TRUE(s.ends());
     EXPECT_TRUE(
--- a/tests/gateway/session_model_test.cpp
+++ b/tests/gateway/session_model_test.cpp
@@ -133,7 +133,7 @@
         parameters.volume = &settings.volumes[0];
         parameters.store = &store;
         parameters.protocol = 31;
-        parameters.compatFlags = kSafeList | kSeedFix | kVarintFlags;
+        parameters.compatFlags = kCompatSafeFileList | kCompatChecksumSeedFix | kCompatVarintFlags;
         parameters.checksumKind = SumKind::Xxh128;
         parameters.checksumSeed = 7;
         parameters.options.recurse = parameters.options.times = true;
@@ -142,7 +142,7 @@
         channel.startMultiplexOut();
         failurePercent = random() % 3 == 0 ? 20 : 0;
     }
-    void send(std::string_view data) { putFrame(toServer, Message::Data, data); }
+    void send(std::string_view data) { putFrame(toServer, MessageTag::Data, data); }
     // Lets the client process the output received so far (`received`, `messages`).
     virtual void onOutput() = 0;
     virtual ~Model() = default;
@@ -219,7 +219,7 @@
     std::shared_ptr<TransferSide> side;
     std::string toServer, received;
     Demux demux;
-    std::vector<Demux::Beside> messages;
+    std::vector<Demux::Message> messages;
     unsigned failurePercent = 0;
     bool woken = false;
     double clock = 0;
@@ -242,7 +242,7 @@
     explicit DownloadClient(unsigned seed) : Model(seed) {
         parameters.options.sender = true;
         parameters.options.compress = random() % 2;
-        if (random() % 4 == 0) parameters.options.bytesPerS = 20000;
+        if (random() % 4 == 0) parameters.options.bytesPerSecond = 20000;
         const auto files = 1 + random() % 8;
         for (std::size_t i = 0; i < files; ++i) {
             const auto name = "f" + std::to_string(i);
@@ -275,7 +275,7 @@
         putSumHead(text, h);
         for (std::size_t i = 0; i < old.size(); i += 700) {
             const auto block = old.substr(i, 700);
-            Rolling r;
+            RollingSum r;
             r.start(block);
             putU32(text, r.value());
             text += blockSum(SumKind::Xxh128, md5, block, parameters.checksumSeed, true);
@@ -286,7 +286,7 @@
         while (step()) {
         }
         for (const auto& m : std::exchange(messages, {}))
-            if (m.kind == Message::NoSend) ++refused;
+            if (m.tag == MessageTag::NoSend) ++refused;
     }
     bool step() {
         std::string_view view(received);
@@ -294,10 +294,10 @@
         if (!listReceived) {
             FileEntry e;
             const auto got = reader->next(view, e);
-            if (got == ListReader::Got::More) return false;
+            if (got == ListReader::Result::NeedMore) return false;
             dropRead();
-            if (got == ListReader::Got::Entry) return list.push_back(e), true;
-            EXPECT_EQ(got, ListReader::Got::End) << reader->error();
+            if (got == ListReader::Result::Entry) return list.push_back(e), true;
+            EXPECT_EQ(got, ListReader::Result::End) << reader->error();
             listReceived = true;
             sortList(list);
             std::string text;
@@ -305,7 +305,7 @@
                 if (list[i].isFile())
                     requestedFiles.push_back(static_cast<std::int32_t>(i)),
                         appendRequest(text, requestedFiles.back());
-            for (int i = 0; i < 3; ++i) out.put(text, kDone);
+            for (int i = 0; i < 3; ++i) out.put(text, kIndexDone);
             send(text);
             return true;
         }
@@ -313,31 +313,31 @@
         Reader r(view);
         auto coder = in;
         const auto index = coder.get(r);
-        if (!r.enough()) return false;
-        if (index == kDone) {
+        if (!r.complete()) return false;
+        if (index == kIndexDone) {
             if (phaseEnds == 2) {  // statistics follow the end of the last phase
                 for (int i = 0; i < 5; ++i) r.varlong(3);
-                if (!r.enough()) return false;
+                if (!r.complete()) return false;
                 std::string text;
-                out.put(text, kDone);
+                out.put(text, kIndexDone);
                 send(text);
             }
             if (phaseEnds == 3) {
                 std::string text;
-                out.put(text, kDone);
+                out.put(text, kIndexDone);
                 send(text);
             }
             ++phaseEnds;
         } else {
             r.u16();
             head = getSumHead(r);
-            if (!r.enough()) return false;
+            if (!r.complete()) return false;
             inFile = true;
             currentIndex = static_cast<std::size_t>(index);
             receivedContent.clear();
         }
         in = coder;
-        view.remove_prefix(r.used());
+        view.remove_prefix(r.consumed());
         dropRead();
         return true;
     }
@@ -354,14 +354,14 @@
             return true;
         }
         const auto t = tokens->next(view);
-        EXPECT_NE(t.kind, Token::Kind::Bad) << tokens->error();
+        EXPECT_NE(t.kind, Token::Kind::Invalid) << tokens->error();
         if (t.kind == Token::Kind::Literal) receivedContent += t.literal;
         if (t.kind == Token::Kind::Block)
             receivedContent +=
                 clientFiles[list[currentIndex].name].substr(static_cast<std::size_t>(t.block) * 700, 700);
         if (t.kind == Token::Kind::End) expectsChecksum = true;
         received.erase(0, before - view.size());
-        return t.kind != Token::Kind::More && t.kind != Token::Kind::Bad;
+        return t.kind != Token::Kind::NeedMore && t.kind != Token::Kind::Invalid;
     }
 };
 
@@ -392,7 +392,7 @@
 
     explicit UploadClient(unsigned seed, std::size_t symlinks = 0) : Model(seed), writer(seed % 2 == 0) {
         parameters.options.compress = seed % 2 == 0;
-        parameters.options.remove = random() % 2;
+        parameters.options.deleteExtraneous = random() % 2;
         parameters.options.delayUpdates = random() % 4 == 0;
         parameters.options.backup = random() % 4 == 0;
         if (parameters.options.backup) parameters.options.backupSuffix = "~";
@@ -426,7 +426,7 @@
         wire::rsync::ListForm form;
         ListWriter w(form);
         std::string text;
-        if (parameters.options.remove) putU32(text, 0);
+        if (parameters.options.deleteExtraneous) putU32(text, 0);
         for (const auto& e : list) w.put(text, e);
         w.end(text, 0);
         send(text);
@@ -436,7 +436,7 @@
         while (step()) {
         }
         for (const auto& m : std::exchange(messages, {}))
-            if (m.kind == Message::ErrorXfer) {
+            if (m.tag == MessageTag::ErrorXfer) {
                 ++reportedErrors;
                 const auto more = m.payload.find(" more files were not stored");
                 if (more == m.payload.npos) continue;
@@ -448,38 +448,38 @@
         Reader r(received);
         auto coder = in;
         const auto i = coder.get(r);
-        if (!r.enough()) return false;
+        if (!r.complete()) return false;
         std::string text;
-        if (i == kDeleteStats) {
+        if (i == kIndexDeleteStats) {
             for (int k = 0; k < 5; ++k) r.varint();
-            if (!r.enough()) return false;
-        } else if (i == kDone) {
-            if (++phaseEnds <= 4) out.put(text, kDone);
+            if (!r.complete()) return false;
+        } else if (i == kIndexDone) {
+            if (++phaseEnds <= 4) out.put(text, kIndexDone);
         } else {
             const auto flags = r.u16();
             if (flags & (1 << 15)) {
                 BlockSums b;
                 b.head = getSumHead(r);
-                for (int k = 0; k < b.head.count && r.enough(); ++k) {
+                for (int k = 0; k < b.head.count && r.complete(); ++k) {
                     b.rolling.push_back(r.u32());
                     b.strong += r.bytes(static_cast<std::size_t>(b.head.sumBytes));
                 }
-                if (!r.enough()) return false;
+                if (!r.complete()) return false;
                 const auto& whole = expectedFiles.at(list[static_cast<std::size_t>(i)].name);
                 out.put(text, i);
                 putU16(text, flags);
                 putSumHead(text, b.head);
-                Matcher m(std::move(b), SumKind::Xxh128, md5, parameters.checksumSeed, true);
+                BlockMatcher m(std::move(b), SumKind::Xxh128, md5, parameters.checksumSeed, true);
                 m.feed(whole, writer, text);
                 m.finish(writer, text);
                 writer.end(text);
                 auto sum = checksumFromHex(catalogue::xxh128Hex(whole));
                 if (std::exchange(corruptNextChecksum, false)) sum[3] = static_cast<char>(~sum[3]);
                 text += sum;
-            } else if (!r.enough()) return false;
+            } else if (!r.complete()) return false;
         }
         in = coder;
-        received.erase(0, r.used());
+        received.erase(0, r.consumed());
         if (!text.empty()) send(text);
         return true;
     }
@@ -500,7 +500,8 @@
             }
         }
         if (p.failurePercent == 0) {
-            EXPECT_EQ(p.store.known.find("maps", "left-over") == nullptr, p.parameters.options.remove);
+            EXPECT_EQ(p.store.known.find("maps", "left-over") == nullptr,
+                      p.parameters.options.deleteExtraneous);
         }
         EXPECT_TRUE(p.store.pending.empty());
     }
