--- a/fuzz/driver.cpp
+++ b/fuzz/driver.cpp
@@ -11,9 +11,10 @@
 
 namespace {
 
-std::string bend(std::string text, const std::vector<std::string>& seeds, std::mt19937_64& random) {
+// Applies one to six random mutations.
+std::string mutate(std::string text, const std::vector<std::string>& seeds, std::mt19937_64& random) {
     const auto pick = [&random](std::size_t n) { return n ? static_cast<std::size_t>(random() % n) : 0; };
-    for (auto times = 1 + pick(6); times > 0; --times) switch (pick(7)) {
+    for (auto count = 1 + pick(6); count > 0; --count) switch (pick(7)) {
             case 0:
                 if (!text.empty()) text[pick(text.size())] = static_cast<char>(random());
                 break;
@@ -35,9 +36,9 @@
                 text.insert(pick(text.size() + 1), other, at, 1 + pick(64));
                 break;
             }
-            case 6: {  // lengths that matter to parsers
-                const char ends[] = {'\0', '\x7f', '\xff', '\xfe', '\x80'};
-                if (!text.empty()) text[pick(text.size())] = ends[pick(5)];
+            case 6: {  // bytes at the bounds of length encodings
+                const char bounds[] = {'\0', '\x7f', '\xff', '\xfe', '\x80'};
+                if (!text.empty()) text[pick(text.size())] = bounds[pick(5)];
                 break;
             }
         }
@@ -46,23 +47,23 @@
 
 }  // namespace
 
-// Arguments: the folder of seeds, how many bent inputs, the seed of the generator.
+// Arguments: directory of the seed inputs, number of mutated inputs, seed of the random generator.
 int main(int argc, char** argv) {
     if (argc < 3) return std::fprintf(stderr, "usage: %s SEEDS RUNS [SEED]\n", argv[0]), 2;
     std::vector<std::string> seeds;
-    for (const auto& f : std::filesystem::directory_iterator(argv[1])) {
-        std::ifstream in(f.path(), std::ios::binary);
+    for (const auto& file : std::filesystem::directory_iterator(argv[1])) {
+        std::ifstream in(file.path(), std::ios::binary);
         seeds.emplace_back(std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>());
     }
     if (seeds.empty()) return std::fprintf(stderr, "no seeds in %s\n", argv[1]), 2;
-    const auto play = [](const std::string& text) {
+    const auto run = [](const std::string& text) {
         LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t*>(text.data()), text.size());
     };
-    for (const auto& s : seeds) play(s);
+    for (const auto& seed : seeds) run(seed);
     std::mt19937_64 random(argc > 3 ? std::strtoull(argv[3], nullptr, 10) : 1);
     const long runs = std::atol(argv[2]);
     for (long i = 0; i < runs; ++i)
-        play(bend(seeds[static_cast<std::size_t>(random() % seeds.size())], seeds, random));
-    std::printf("%zu seeds and %ld bent inputs\n", seeds.size(), runs);
+        run(mutate(seeds[static_cast<std::size_t>(random() % seeds.size())], seeds, random));
+    std::printf("%zu seeds and %ld mutated inputs\n", seeds.size(), runs);
     return 0;
 }
--- a/fuzz/driver.hpp
+++ b/fuzz/driver.hpp
@@ -1,5 +1,6 @@
-// One entry for libFuzzer (LLVMFuzzerTestOneInput) and a driver of our own for machines without it: it plays
-// the seeds, then bends them by a seeded generator for a stated number of runs.
+// The entry point of a fuzz target, for libFuzzer or for the driver in driver.cpp where libFuzzer is not
+// available: it runs the seed inputs, then a given number of mutations of them from a seeded random
+// generator.
 #pragma once
 
 #include <cstddef>
