--- a/src/wire/http/message.hpp
+++ b/src/wire/http/message.hpp
@@ -49,8 +49,9 @@
     // To be called for the response to a HEAD request, which has no body whatever its fields say
     // (RFC 9112, 6.3).
     void expectNoBody() { noBody_ = true; }
-    // To be called when the peer closed the connection in order, never after a reset. Returns End if that
-    // ends the body (a response with neither a length nor chunks; RFC 9112, 6.3), else NeedMore or Invalid.
+    // To be called when the peer closed the connection in order, never after a reset. Returns End if the
+    // message is complete, which the close itself causes for a response with neither a length nor chunks
+    // (RFC 9112, 6.3), else NeedMore or Invalid.
     Result onEndOfStream();
     // Bytes of the body still to come, if it has a Content-Length.
     std::uint64_t remainingBodyBytes() const { return bodyBytesLeft_; }
