--- a/kit/rsync_client.cpp
+++ b/kit/rsync_client.cpp
@@ -31,7 +31,7 @@
     socket_.read(static_cast<unsigned char>(length[0]));
     socket_.read(4);
     std::string frame;
-    putFrame(frame, Message::Data, std::string(4, '\0'));  // empty filter list
+    putFrame(frame, MessageTag::Data, std::string(4, '\0'));  // empty filter list
     socket_.send(frame);
     ListReader reader{ListForm{}};
     for (;;) {
@@ -39,9 +39,9 @@
         FileEntry entry;
         const auto got = reader.next(in, entry);
         input_.erase(0, input_.size() - in.size());
-        if (got == ListReader::Got::Entry) files_.push_back(std::move(entry));
-        else if (got == ListReader::Got::End) break;
-        else if (got == ListReader::Got::Bad || !receive()) return;
+        if (got == ListReader::Result::Entry) files_.push_back(std::move(entry));
+        else if (got == ListReader::Result::End) break;
+        else if (got == ListReader::Result::Invalid || !receive()) return;
     }
     sortList(files_);
     answered_.resize(files_.size());
@@ -60,7 +60,7 @@
     sentIndexes_.put(request, index);
     putU16(request, 0x8000);  // item flags: transfer the file
     putSumHead(request, {});
-    putFrame(frame, Message::Data, request);
+    putFrame(frame, MessageTag::Data, request);
     result.content.reserve(files_[static_cast<std::size_t>(index)].size);
     result.requestedUs = monotonicUs();
     const auto finish = [&](FetchResult::Outcome outcome) {
@@ -74,7 +74,7 @@
     bool headRead = false, inContent = true;
     for (;;) {
         for (const auto& message : std::exchange(messages_, {}))
-            if (message.kind == Message::NoSend) return finish(FetchResult::Outcome::NotSent);
+            if (message.tag == MessageTag::NoSend) return finish(FetchResult::Outcome::NotSent);
         std::string_view in = input_;
         Reader reader(in);
         if (!headRead) {
@@ -82,10 +82,10 @@
             const auto got = coder.get(reader);
             reader.u16();
             getSumHead(reader);
-            if (reader.enough()) {
+            if (reader.complete()) {
                 if (got != index) return finish(FetchResult::Outcome::ConnectionLost);
                 receivedIndexes_ = coder;
-                input_.erase(0, reader.used());
+                input_.erase(0, reader.consumed());
                 headRead = true;
                 continue;
             }
@@ -96,22 +96,22 @@
                 const auto token = tokens_.next(in);
                 if (token.kind == Token::Kind::Literal) result.content += token.literal;
                 if (token.kind == Token::Kind::End) inContent = false;
-                if (token.kind == Token::Kind::Bad || token.kind == Token::Kind::Block)
+                if (token.kind == Token::Kind::Invalid || token.kind == Token::Kind::Block)
                     return finish(FetchResult::Outcome::ConnectionLost);
-                again = token.kind != Token::Kind::More || in.size() != before;
+                again = token.kind != Token::Kind::NeedMore || in.size() != before;
                 progressed = progressed || again;
             }
             input_.erase(0, input_.size() - in.size());
             if (progressed && !inContent) continue;
-        } else if (in.size() >= kSumBytes) {
+        } else if (in.size() >= kMaxStrongSumBytes) {
             std::string sum;
             const auto hash = XXH3_128bits(result.content.data(), result.content.size());
             for (const auto half : {hash.low64, hash.high64}) {
                 putU32(sum, static_cast<std::uint32_t>(half));
                 putU32(sum, static_cast<std::uint32_t>(half >> 32));
             }
-            const bool matches = in.substr(0, kSumBytes) == sum;
-            input_.erase(0, kSumBytes);
+            const bool matches = in.substr(0, kMaxStrongSumBytes) == sum;
+            input_.erase(0, kMaxStrongSumBytes);
             return finish(matches ? FetchResult::Outcome::Content : FetchResult::Outcome::BadChecksum);
         }
         if (!receive()) return finish(FetchResult::Outcome::ConnectionLost);
--- a/kit/rsync_client.hpp
+++ b/kit/rsync_client.hpp
@@ -43,7 +43,7 @@
     bool receive();
     Socket socket_;
     wire::rsync::Demux demux_;
-    std::vector<wire::rsync::Demux::Beside> messages_;
+    std::vector<wire::rsync::Demux::Message> messages_;
     std::string input_;
     std::vector<wire::rsync::FileEntry> files_;
     std::vector<bool> answered_;  // by index
--- a/kit/soak/clients.cpp
+++ b/kit/soak/clients.cpp
@@ -194,23 +194,23 @@
 }
 
 void Clients::onData(const ConnectionPtr& connection, std::string_view bytes) {
-    using Got = wire::http::Parser::Got;
+    using Result = wire::http::Parser::Result;
     if (connection->disconnected) return;
     std::string_view part;
     for (;;) switch (connection->parser.next(bytes, part)) {
-            case Got::More:
+            case Result::NeedMore:
                 return;
-            case Got::Head:
+            case Result::Head:
                 connection->answering = true;
                 break;
-            case Got::Body:
+            case Result::Body:
                 connection->body += part;
                 break;
-            case Got::End:
+            case Result::End:
                 onResponse(connection);
                 if (bytes.empty()) return;
                 break;
-            case Got::Bad:
+            case Result::Invalid:
                 return onEnd(connection, TcpConnection::End::Reset);
         }
 }
--- a/kit/soak/disk_server.cpp
+++ b/kit/soak/disk_server.cpp
@@ -194,19 +194,19 @@
 }
 
 void DiskServer::onData(const SessionPtr& session, std::string_view bytes) {
-    using Got = wire::http::Parser::Got;
+    using Result = wire::http::Parser::Result;
     std::string_view part;
     if (!session->attemptBegun) session->firstByteAt = reactor_.now();
     for (;;) switch (session->parser.next(bytes, part)) {
-            case Got::More:
+            case Result::NeedMore:
                 if (!session->attemptBegun || uploadsToReset_ == 0) return;
                 --uploadsToReset_;
                 session->connection->reset();
                 sessions_.erase(std::remove(sessions_.begin(), sessions_.end(), session), sessions_.end());
                 return;
-            case Got::Body:
+            case Result::Body:
                 break;
-            case Got::Head: {
+            case Result::Head: {
                 const auto& head = session->parser.head();
                 session->attemptBegun = true;
                 auto& attempt = session->attempt;
@@ -224,7 +224,7 @@
                 recordEvent(EventKind::AttemptBegan, attempt);
                 break;
             }
-            case Got::End:
+            case Result::End:
                 session->attempt.receivedAt = reactor_.now();
                 session->parser.reset();
                 session->attemptBegun = false;
@@ -232,7 +232,7 @@
                 if (bytes.empty()) return;
                 session->firstByteAt = reactor_.now();
                 break;
-            case Got::Bad:
+            case Result::Invalid:
                 session->connection->reset();
                 return;
         }
--- a/kit/soak/steady_clients.cpp
+++ b/kit/soak/steady_clients.cpp
@@ -130,22 +130,22 @@
 }
 
 void SteadyClients::onData(const ClientPtr& client, std::string_view bytes) {
-    using Got = wire::http::Parser::Got;
+    using Result = wire::http::Parser::Result;
     std::string_view part;
     for (;;) switch (client->parser.next(bytes, part)) {
-            case Got::More:
+            case Result::NeedMore:
                 return;
-            case Got::Head:
+            case Result::Head:
                 client->responding = true;
                 break;
-            case Got::Body:
+            case Result::Body:
                 client->body += part;
                 break;
-            case Got::End:
+            case Result::End:
                 onResponse(client);
                 if (bytes.empty()) return;
                 break;
-            case Got::Bad:
+            case Result::Invalid:
                 client->connection->close();
                 return onEnd(client);
         }
@@ -153,7 +153,7 @@
 
 void SteadyClients::onResponse(const ClientPtr& client) {
     const int status = client->parser.head().status;
-    const bool closes = client->parser.closes();
+    const bool closes = client->parser.closesConnection();
     const auto body = std::exchange(client->body, {});
     client->parser.reset();
     client->responding = false;
