--- a/standins/http_server.cpp
+++ b/standins/http_server.cpp
@@ -5,76 +5,82 @@
 #include <vector>
 
 namespace spokewheel::standins {
+namespace {
+
+// Pipelined bytes that a connection may hold while its request is unanswered; it is closed beyond that.
+constexpr std::size_t kMaxPipelinedBytes = 64 * 1024;
+
+}  // namespace
 
 using wire::http::Parser;
 
-HttpServer::HttpServer(const io::Address& at, Handler handler, std::uint64_t mostBody)
-    : handler_(std::move(handler)), mostBody_(mostBody) {
+HttpServer::HttpServer(const io::Address& at, Handler handler, std::uint64_t maxBodyBytes)
+    : handler_(std::move(handler)), maxBodyBytes_(maxBodyBytes) {
     listener_ = std::make_unique<io::Listener>(
         at, [this](std::shared_ptr<io::Connection> c) { accept(std::move(c)); });
 }
-HttpServer::~HttpServer() { cutAll(); }
+HttpServer::~HttpServer() { closeAll(); }
 
 void HttpServer::accept(std::shared_ptr<io::Connection> connection) {
-    const auto id = ++next_;
-    auto& c = clients_[id];
-    c = std::make_unique<Client>();
+    const auto id = ++nextId_;
+    auto& client = clients_[id];
+    client = std::make_unique<Client>();
     wire::http::Limits limits;
-    limits.body = mostBody_;
-    c->parser = Parser(Parser::Kind::Request, limits);
-    c->connection = std::move(connection);
-    c->connection->setHandler({{},
-                               [this, id](std::string_view bytes) { onData(id, bytes); },
-                               {},
-                               [this, id](io::DisconnectReason) {
-                                   clients_.erase(id);
-                                   if (handler_.gone) handler_.gone(id);
-                               }});
-    if (paused_) c->connection->pauseReading();
+    limits.body = maxBodyBytes_;
+    client->parser = Parser(Parser::Kind::Request, limits);
+    client->connection = std::move(connection);
+    client->connection->setHandler({{},
+                                    [this, id](std::string_view bytes) { onData(id, bytes); },
+                                    {},
+                                    [this, id](io::DisconnectReason) {
+                                        clients_.erase(id);
+                                        if (handler_.disconnected) handler_.disconnected(id);
+                                    }});
+    if (paused_) client->connection->pauseReading();
 }
 
 void HttpServer::onData(std::uint64_t id, std::string_view bytes) {
-    auto& c = *clients_.at(id);
-    if (c.busy) {
-        c.pending += bytes;
-        if (c.pending.size() > 64 * 1024) drop(id);  // pipelined further than anybody here does
+    auto& client = *clients_.at(id);
+    if (client.awaitingAnswer) {
+        client.pipelined += bytes;
+        if (client.pipelined.size() > kMaxPipelinedBytes) drop(id);
         return;
     }
     std::string_view body;
-    for (;;) switch (c.parser.next(bytes, body)) {
+    for (;;) switch (client.parser.next(bytes, body)) {
             case Parser::Got::More:
                 return;
             case Parser::Got::Head: {
-                c.request = {};
-                c.request.connection = id;
-                c.request.head = c.parser.head();
-                std::string_view target = c.request.head.target;
-                const auto mark = std::min(target.find('?'), target.size());
-                c.request.path = wire::http::unescape(target.substr(0, mark)).value_or("");
-                target.remove_prefix(std::min(mark + 1, target.size()));
+                client.request = {};
+                client.request.connection = id;
+                client.request.head = client.parser.head();
+                std::string_view target = client.request.head.target;
+                const auto queryStart = std::min(target.find('?'), target.size());
+                client.request.path = wire::http::unescape(target.substr(0, queryStart)).value_or("");
+                target.remove_prefix(std::min(queryStart + 1, target.size()));
                 while (!target.empty()) {
                     const auto end = std::min(target.find('&'), target.size());
                     const auto pair = target.substr(0, end);
                     const auto equals = std::min(pair.find('='), pair.size());
-                    c.request.query[std::string(pair.substr(0, equals))] =
+                    client.request.query[std::string(pair.substr(0, equals))] =
                         wire::http::unescape(pair.substr(std::min(equals + 1, pair.size()))).value_or("");
                     target.remove_prefix(std::min(end + 1, target.size()));
                 }
                 break;
             }
             case Parser::Got::Body:
-                c.request.body += body;
+                client.request.body += body;
                 break;
             case Parser::Got::End:
-                c.busy = true;
-                c.closing = c.parser.closes();
-                c.pending = bytes;
-                c.parser.reset();
-                return handler_.request(std::move(c.request));
+                client.awaitingAnswer = true;
+                client.closeAfterAnswer = client.parser.closes();
+                client.pipelined = bytes;
+                client.parser.reset();
+                return handler_.request(std::move(client.request));
             case Parser::Got::Bad:
-                c.connection->write(wire::http::writeResponse(400, {{"Connection", "close"}}, 0));
-                c.connection->shutdownWrite();
-                c.busy = true;
+                client.connection->write(wire::http::writeResponse(400, {{"Connection", "close"}}, 0));
+                client.connection->shutdownWrite();
+                client.awaitingAnswer = true;
                 return;
         }
 }
@@ -82,23 +88,23 @@
 void HttpServer::answer(std::uint64_t id, int status, const wire::http::Fields& fields, std::string body) {
     const auto found = clients_.find(id);
     if (found == clients_.end()) return;
-    auto& c = *found->second;
-    const bool headOnly = c.request.head.method == "HEAD";
-    c.connection->write(wire::http::writeResponse(status, fields, body.size()));
-    if (!headOnly && !body.empty()) c.connection->write(std::move(body));
-    c.busy = false;
-    if (c.closing) return c.connection->shutdownWrite();
-    const auto rest = std::exchange(c.pending, {});
-    if (!rest.empty()) onData(id, rest);
+    auto& client = *found->second;
+    const bool headOnly = client.request.head.method == "HEAD";
+    client.connection->write(wire::http::writeResponse(status, fields, body.size()));
+    if (!headOnly && !body.empty()) client.connection->write(std::move(body));
+    client.awaitingAnswer = false;
+    if (client.closeAfterAnswer) return client.connection->shutdownWrite();
+    const auto pipelined = std::exchange(client.pipelined, {});
+    if (!pipelined.empty()) onData(id, pipelined);
 }
 
-void HttpServer::answerCut(std::uint64_t id, int status, std::string body, std::size_t bodyBytes) {
+void HttpServer::answerTruncated(std::uint64_t id, int status, std::string body, std::size_t bodyBytes) {
     const auto found = clients_.find(id);
     if (found == clients_.end()) return;
-    auto& c = *found->second;
-    c.connection->write(wire::http::writeResponse(status, {}, body.size()));
-    c.connection->write(body.substr(0, std::min(bodyBytes, body.size() - 1)));
-    c.connection->shutdownWrite();
+    auto& client = *found->second;
+    client.connection->write(wire::http::writeResponse(status, {}, body.size()));
+    client.connection->write(body.substr(0, std::min(bodyBytes, body.size() - 1)));
+    client.connection->shutdownWrite();
 }
 
 void HttpServer::drop(std::uint64_t id) {
@@ -107,23 +113,23 @@
     const auto client = std::move(found->second);
     clients_.erase(found);
     client->connection->close();
-    if (handler_.gone) handler_.gone(id);
+    if (handler_.disconnected) handler_.disconnected(id);
 }
-void HttpServer::cut(std::uint64_t id) { drop(id); }
-void HttpServer::cutAll() {
-    const auto all = std::exchange(clients_, {});
-    for (const auto& [id, c] : all) c->connection->close();
+void HttpServer::close(std::uint64_t id) { drop(id); }
+void HttpServer::closeAll() {
+    const auto clients = std::exchange(clients_, {});
+    for (const auto& [id, client] : clients) client->connection->close();
 }
-void HttpServer::cutIdle() {
+void HttpServer::closeIdle() {
     std::vector<std::uint64_t> idle;
-    for (const auto& [id, c] : clients_)
-        if (!c->busy && c->parser.atStart()) idle.push_back(id);
+    for (const auto& [id, client] : clients_)
+        if (!client->awaitingAnswer && client->parser.atStart()) idle.push_back(id);
     for (const auto id : idle) drop(id);
 }
 void HttpServer::pauseAll(bool paused) {
     paused_ = paused;
-    for (const auto& [id, c] : clients_)
-        paused ? c->connection->pauseReading() : c->connection->resumeReading();
+    for (const auto& [id, client] : clients_)
+        paused ? client->connection->pauseReading() : client->connection->resumeReading();
 }
 
 }  // namespace spokewheel::standins
--- a/standins/meter.hpp
+++ b/standins/meter.hpp
@@ -1,7 +1,7 @@
-// What all nodes together served for each volume, in units a second as a part of what its plan counts on
-// (`Spokewheel-Usage`: 1 + percent of nominal). Late by design, as a meter that gathers from many nodes is:
-// of the period before the last. Nodes share a directory, each writes what it served in a period that is
-// over.
+// Usage meter of the stand-in nodes: the rate at which all nodes together served each volume, as a percentage
+// of the nominal rate of the volume's plan, plus 1 (`Spokewheel-Usage`). Each node writes what it served in a
+// period to a file in a shared directory once the period is over. The reported rate is of the period before
+// the last, since a meter that collects from many nodes lags behind by design.
 #pragma once
 
 #include <cstdint>
@@ -13,28 +13,30 @@
 namespace spokewheel::standins {
 
 struct MeterSettings {
-    std::string directory;  // empty: no meter
+    std::string directory;  // shared by all nodes; empty: no meter
     double periodMs = 1000;
-    std::map<std::int64_t, double> nominal;  // units a second, by the volume's number
+    std::map<std::int64_t, double> nominal;  // units per second, by volume
 };
 
 class Meter {
   public:
+    // `name` distinguishes the files of this node from those of others.
     Meter(MeterSettings settings, std::string name);
-    // From the attempt's label: "...;volume=7;units=4;...".
-    void served(const std::string& label);
-    // 0 where there is nothing to tell.
+    // Adds a served request. `label` is the value of Spokewheel-Attempt: "...;volume=7;units=4;...".
+    void recordServed(const std::string& label);
+    // The usage of the label's volume, as Spokewheel-Usage carries it; 0 if there is none to report.
     long usage(const std::string& label);
 
   private:
-    std::int64_t period() const;
-    void roll();
-    std::string fileOf(std::int64_t period) const;
+    std::int64_t period() const;  // that runs now, by number
+    void rollOver();
+    std::string periodFile(std::int64_t period) const;
 
     MeterSettings settings_;
     std::string name_;
-    std::int64_t now_ = 0, told_ = -1;            // periods
-    std::map<std::int64_t, double> units_, sum_;  // of this node in `now_`; of all in `told_`
+    std::int64_t currentPeriod_ = 0, reportedPeriod_ = -1;
+    std::map<std::int64_t, double> servedUnits_;    // by this node in currentPeriod_, by volume
+    std::map<std::int64_t, double> reportedUnits_;  // by all nodes in reportedPeriod_, by volume
     io::Timer timer_;
 };
 
