--- a/bench/gateway_path.cpp
+++ b/bench/gateway_path.cpp
@@ -1,5 +1,7 @@
-// The whole path: reads through a gateway against a bare client straight to the same nodes, in turns in one
-// run; and a tree by the stock rsync client through the gateway against the same client copying locally.
+// Cost of the whole path. Reads through a gateway are compared with a minimal HTTP client that reads the same
+// objects directly from the node; the two take turns within one run, so that changes in the machine's load
+// affect both. A tree copied through the gateway by the stock rsync client is compared with a local copy by
+// the same client.
 #include <unistd.h>
 
 #include <algorithm>
@@ -18,116 +20,123 @@
 using namespace spokewheel::kit;
 namespace fs = std::filesystem;
 
-struct Figures {
-    double perSecond = 0, p50 = 0, p99 = 0;
+struct Measurement {
+    double perSecond = 0, p50 = 0, p99 = 0;  // latencies in ms
 };
-Figures measure(int clients, int each, const std::function<std::function<bool()>(int)>& make) {
-    std::vector<std::vector<double>> took(static_cast<std::size_t>(clients));
+// Runs `clients` threads. Each calls `makeReader` with its number and then the returned reader, which returns
+// whether its read succeeded, `readsPerClient` times.
+Measurement measure(int clients, int readsPerClient,
+                    const std::function<std::function<bool()>(int)>& makeReader) {
+    std::vector<std::vector<double>> latenciesMs(static_cast<std::size_t>(clients));
     std::vector<std::thread> threads;
-    const auto from = monotonicUs();
+    const auto startUs = monotonicUs();
     for (int c = 0; c < clients; ++c)
         threads.emplace_back([&, c] {
-            const auto one = make(c);
-            for (int i = 0; i < each; ++i) {
-                const auto t = monotonicUs();
-                if (!one()) std::fprintf(stderr, "a read failed\n");
-                took[static_cast<std::size_t>(c)].push_back(static_cast<double>(monotonicUs() - t) / 1000);
+            const auto read = makeReader(c);
+            for (int i = 0; i < readsPerClient; ++i) {
+                const auto readStartUs = monotonicUs();
+                if (!read()) std::fprintf(stderr, "a read failed\n");
+                latenciesMs[static_cast<std::size_t>(c)].push_back(
+                    static_cast<double>(monotonicUs() - readStartUs) / 1000);
             }
         });
-    for (auto& t : threads) t.join();
-    const double seconds = static_cast<double>(monotonicUs() - from) / 1e6;
+    for (auto& thread : threads) thread.join();
+    const double seconds = static_cast<double>(monotonicUs() - startUs) / 1e6;
     std::vector<double> all;
-    for (const auto& t : took) all.insert(all.end(), t.begin(), t.end());
+    for (const auto& latencies : latenciesMs) all.insert(all.end(), latencies.begin(), latencies.end());
     std::sort(all.begin(), all.end());
     return {static_cast<double>(all.size()) / seconds, all[all.size() / 2], all[all.size() * 99 / 100]};
 }
 
-// One kept connection that asks for the same objects as the gateway does.
-class Bare {
+// A blocking HTTP client with one persistent connection.
+class HttpReader {
   public:
-    explicit Bare(int port) : socket_(port) {}
+    explicit HttpReader(int port) : socket_(port) {}
+    // Whether the answer is a 200 with a complete body.
     bool get(const std::string& target) {
         socket_.send("GET " + target + " HTTP/1.1\r\nHost: x\r\n\r\n");
         std::size_t length = 0;
-        const bool fine = socket_.readLine().find(" 200 ") != std::string::npos;
+        const bool ok = socket_.readLine().find(" 200 ") != std::string::npos;
         for (std::string line = socket_.readLine(); line != "\r" && !line.empty(); line = socket_.readLine())
             if (line.rfind("Content-Length: ", 0) == 0)
                 length = std::strtoull(line.c_str() + 16, nullptr, 10);
-        return socket_.read(length).size() == length && fine;
+        return socket_.read(length).size() == length && ok;
     }
 
   private:
     Socket socket_;
 };
 
-// The objects that lie on the one node, from its record.
-std::vector<std::string> stored(const Fleet& fleet, const std::string& kind) {
-    std::vector<std::string> out;
+// The targets of the stored objects of a kind ("o/": files, "p/": pieces), from the trace of the only node.
+std::vector<std::string> storedTargets(const Fleet& fleet, const std::string& kind) {
+    std::vector<std::string> targets;
     std::istringstream in(readFile(fleet.traceOf(0)));
     for (std::string line; std::getline(in, line);) {
         const auto at = line.find("\"target\":\"/maps/" + kind);
         if (at == line.npos || line.find("\"execute\",\"method\":\"PUT\"") == line.npos) continue;
-        out.push_back(line.substr(at + 10, line.find('"', at + 10) - at - 10));
+        targets.push_back(line.substr(at + 10, line.find('"', at + 10) - at - 10));
     }
-    return out;
+    return targets;
 }
 
-void reads(const std::string& bin, const std::string& work, const char* what, std::size_t bytes, int files,
-           int clients, int each) {
-    Fleet fleet(bin, work + "/fleet");
+void compareReads(const std::string& binDir, const std::string& work, const char* what, std::size_t bytes,
+                  int files, int clients, int readsPerClient) {
+    Fleet fleet(binDir, work + "/fleet");
     fleet.startNode(0);
     fleet.writeList();
-    HostOptions o;
-    o.volumes = "\n  - {name: maps, number: 1, plan: open}\n";
-    o.logLevel = "info";
-    o.extra = "caps: {pieces-ahead: 16}\n";
-    fleet.startHost(0, 1, o);
+    HostOptions options;
+    options.volumes = "\n  - {name: maps, number: 1, plan: open}\n";
+    options.logLevel = "info";
+    options.extra = "caps: {pieces-ahead: 16}\n";
+    fleet.startHost(0, 1, options);
     fs::create_directories(work + "/up");
     for (int i = 0; i < files; ++i)
         writeFile(work + "/up/f" + std::to_string(i), std::string(bytes, static_cast<char>('a' + i % 26)));
     if (fleet.rsync({"-rt", work + "/up/", fleet.url(0, "maps/")}, 120).status != 0) std::exit(1);
-    const auto whole = stored(fleet, "o/"), pieces = stored(fleet, "p/");
-    const std::size_t parts = pieces.size() / static_cast<std::size_t>(files);
-    std::vector<double> rate, p50, p99;
+    const auto whole = storedTargets(fleet, "o/"), pieces = storedTargets(fleet, "p/");
+    const std::size_t piecesPerFile = pieces.size() / static_cast<std::size_t>(files);
+    std::vector<double> rateRatio, p50Ratio, p99Ratio;
     for (int round = 0; round < 5; ++round) {
-        const auto through = measure(clients, each, [&](int c) {
+        const auto gateway = measure(clients, readsPerClient, [&](int c) {
             auto client = std::make_shared<RsyncClient>(fleet.rsyncPort(0), "maps/", 60);
             auto next = std::make_shared<std::size_t>(static_cast<std::size_t>(c));
             return [client, next, files, bytes] {
-                // Place 0 of the list is the directory itself.
+                // Index 0 of the file list is the directory itself.
                 const auto i = static_cast<std::int32_t>(1 + (*next)++ % static_cast<std::size_t>(files));
                 return client->fetch(i).content.size() == bytes;
             };
         });
-        const auto direct = measure(clients, each, [&](int c) {
-            auto client = std::make_shared<Bare>(fleet.nodePort(0));
+        const auto direct = measure(clients, readsPerClient, [&](int c) {
+            auto client = std::make_shared<HttpReader>(fleet.nodePort(0));
             auto next = std::make_shared<std::size_t>(static_cast<std::size_t>(c));
-            return [client, next, &whole, &pieces, parts, files] {
-                const auto i = (*next)++ % static_cast<std::size_t>(files);
-                if (parts == 0) return client->get(whole[i]);
-                bool fine = true;
-                for (std::size_t k = 0; k < parts; ++k) fine = client->get(pieces[i * parts + k]) && fine;
-                return fine;
+            return [client, next, &whole, &pieces, piecesPerFile, files] {
+                const auto file = (*next)++ % static_cast<std::size_t>(files);
+                if (piecesPerFile == 0) return client->get(whole[file]);
+                bool ok = true;
+                for (std::size_t piece = 0; piece < piecesPerFile; ++piece)
+                    ok = client->get(pieces[file * piecesPerFile + piece]) && ok;
+                return ok;
             };
         });
-        rate.push_back(through.perSecond / direct.perSecond);
-        p50.push_back(through.p50 / direct.p50);
-        p99.push_back(through.p99 / direct.p99);
+        rateRatio.push_back(gateway.perSecond / direct.perSecond);
+        p50Ratio.push_back(gateway.p50 / direct.p50);
+        p99Ratio.push_back(gateway.p99 / direct.p99);
         std::printf(
             "  %s: gateway %.0f/s p50 %.2f p99 %.2f ms, direct %.0f/s p50 %.2f p99 %.2f ms, ratio %.2f\n",
-            what, through.perSecond, through.p50, through.p99, direct.perSecond, direct.p50, direct.p99,
-            rate.back());
+            what, gateway.perSecond, gateway.p50, gateway.p99, direct.perSecond, direct.p50, direct.p99,
+            rateRatio.back());
     }
-    for (auto* v : {&rate, &p50, &p99}) std::sort(v->begin(), v->end());
+    for (auto* ratios : {&rateRatio, &p50Ratio, &p99Ratio}) std::sort(ratios->begin(), ratios->end());
     std::printf(
         "%s x %d clients: rate ratio %.2f (%.2f to %.2f), p50 ratio %.2f, p99 ratio %.2f; peak memory %ld "
         "KiB\n",
-        what, clients, rate[2], rate[0], rate[4], p50[2], p99[2], fleet.residentPeakKiB(0));
+        what, clients, rateRatio[2], rateRatio[0], rateRatio[4], p50Ratio[2], p99Ratio[2],
+        fleet.residentPeakKiB(0));
     fs::remove_all(work + "/up");
 }
 
-void tree(const std::string& bin, const std::string& work) {
-    Fleet fleet(bin, work + "/fleet");
+void compareTree(const std::string& binDir, const std::string& work) {
+    Fleet fleet(binDir, work + "/fleet");
     for (int n = 0; n < 3; ++n) fleet.startNode(n, {n, {}});
     fleet.writeList();
     fleet.startHost(0);
@@ -137,16 +146,17 @@
         writeFile(dir + "/f" + std::to_string(i),
                   std::string(1000 + i % 3000, static_cast<char>('a' + i % 26)));
     }
-    const auto timed = [&](const std::vector<std::string>& args) {
-        const auto from = monotonicUs();
+    const auto timed = [&](const std::vector<std::string>& args) {  // seconds that rsync took
+        const auto startUs = monotonicUs();
         if (fleet.rsync(args, 120).status != 0) std::exit(1);
-        return static_cast<double>(monotonicUs() - from) / 1e6;
+        return static_cast<double>(monotonicUs() - startUs) / 1e6;
     };
     for (int round = 0; round < 3; ++round) {
-        const auto to = std::to_string(round);
-        const double up = timed({"-rt", work + "/up/", fleet.url(0, "maps/t" + to + "/")});
-        const double down = timed({"-rt", fleet.url(0, "maps/t" + to + "/"), work + "/down" + to + "/"});
-        const double local = timed({"-rt", work + "/up/", work + "/copy" + to + "/"});
+        const auto suffix = std::to_string(round);
+        const double up = timed({"-rt", work + "/up/", fleet.url(0, "maps/t" + suffix + "/")});
+        const double down =
+            timed({"-rt", fleet.url(0, "maps/t" + suffix + "/"), work + "/down" + suffix + "/"});
+        const double local = timed({"-rt", work + "/up/", work + "/copy" + suffix + "/"});
         std::printf("tree of 10,000 files: up %.2f s, down %.2f s, local copy %.2f s (ratios %.1f, %.1f)\n",
                     up, down, local, up / local, down / local);
     }
@@ -156,14 +166,14 @@
 
 int main() {
     std::setvbuf(stdout, nullptr, _IOLBF, 0);
-    const auto bin = fs::read_symlink("/proc/self/exe").parent_path().string();
+    const auto binDir = fs::read_symlink("/proc/self/exe").parent_path().string();
     const auto work = (fs::temp_directory_path() / ("spokewheel-bench-" + std::to_string(getpid()))).string();
     fs::create_directories(work);
     try {
-        reads(bin, work, "4 KiB", 4096, 200, 1, 4000);
-        reads(bin, work, "4 KiB", 4096, 200, 8, 2000);
-        reads(bin, work, "8 MiB", 8 << 20, 8, 2, 30);
-        tree(bin, work);
+        compareReads(binDir, work, "4 KiB", 4096, 200, 1, 4000);
+        compareReads(binDir, work, "4 KiB", 4096, 200, 8, 2000);
+        compareReads(binDir, work, "8 MiB", 8 << 20, 8, 2, 30);
+        compareTree(binDir, work);
     } catch (const std::exception& e) {
         std::fprintf(stderr, "%s\n", e.what());
     }
--- a/bench/lists.cpp
+++ b/bench/lists.cpp
@@ -1,6 +1,6 @@
-// How long one session's list holds up the thread: a list of 100,000 entries built from the catalogue in
-// slices, and in one go. Told: the longest step and the sum of steps of each, and their ratios; in one run,
-// turn about, the middle of the rounds.
+// How long building one session's file list blocks the thread: a list of 100,000 entries built from the
+// catalogue in slices, compared with the same list built in a single step. Both are built in alternating
+// rounds; prints the medians of the longest step and of the sum of all steps, and their ratios.
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -14,62 +14,64 @@
 using namespace spokewheel;
 constexpr int kEntries = 100000, kDirectories = 1000, kRounds = 9;
 
-struct Took {
-    double longest = 0, sum = 0;
-    std::size_t listed = 0;
+struct BuildTimes {
+    double longestMs = 0, sumMs = 0;  // of the steps
+    std::size_t listed = 0;           // number of entries
 };
 
-Took build(const catalogue::Catalogue& known, std::size_t slice) {
+BuildTimes build(const catalogue::Catalogue& catalogue, std::size_t slice) {
     using Clock = std::chrono::steady_clock;
     const std::string volume = "maps";
     wire::rsync::Options options;
     options.recurse = true;
     wire::rsync::Filter filter(wire::rsync::Filter::Side::Sender);
-    fronts::rsync::ListBuilder builder(known, volume, options,
+    fronts::rsync::ListBuilder builder(catalogue, volume, options,
                                        {fronts::rsync::parseModulePath(volume, "maps/")}, filter, 1000000);
-    Took out;
+    BuildTimes times;
     for (bool done = false; !done;) {
-        const auto from = Clock::now();
+        const auto start = Clock::now();
         done = builder.step(slice);
-        const double ms = std::chrono::duration<double, std::milli>(Clock::now() - from).count();
-        out.longest = std::max(out.longest, ms);
-        out.sum += ms;
+        const double ms = std::chrono::duration<double, std::milli>(Clock::now() - start).count();
+        times.longestMs = std::max(times.longestMs, ms);
+        times.sumMs += ms;
     }
-    out.listed = builder.take().files.size();
-    return out;
+    times.listed = builder.take().files.size();
+    return times;
 }
 
-double middle(std::vector<double> all) {
-    std::sort(all.begin(), all.end());
-    return all[all.size() / 2];
+double median(std::vector<double> values) {
+    std::sort(values.begin(), values.end());
+    return values[values.size() / 2];
 }
 
 }  // namespace
 
 int main() {
-    catalogue::Catalogue known;
+    catalogue::Catalogue catalogue;
     for (int i = 0; i < kEntries; ++i) {
-        catalogue::FileVersion v;
-        v.path = "d" + std::to_string(i * 7919 % kDirectories) + "/some-file-name-" + std::to_string(i);
-        v.id = std::to_string(i);
-        v.version = 1;
-        v.size = 1000;
-        known.addVersion("maps", std::move(v));
+        catalogue::FileVersion file;
+        file.path = "d" + std::to_string(i * 7919 % kDirectories) + "/some-file-name-" + std::to_string(i);
+        file.id = std::to_string(i);
+        file.version = 1;
+        file.size = 1000;
+        catalogue.addVersion("maps", std::move(file));
     }
-    std::vector<double> longest[2], sum[2];
-    bool same = true;
+    std::vector<double> longestMs[2], sumMs[2];  // in slices; in a single step
+    bool complete = true;
     for (int round = 0; round < kRounds; ++round)
-        for (int whole = 0; whole < 2; ++whole) {
-            const auto t =
-                build(known, whole ? std::numeric_limits<std::size_t>::max() / 8 : fronts::rsync::kListSlice);
-            longest[whole].push_back(t.longest);
-            sum[whole].push_back(t.sum);
-            same = same && t.listed == kEntries + kDirectories + 1;
+        for (int singleStep = 0; singleStep < 2; ++singleStep) {
+            const auto times = build(catalogue, singleStep ? std::numeric_limits<std::size_t>::max() / 8
+                                                           : fronts::rsync::kListSlice);
+            longestMs[singleStep].push_back(times.longestMs);
+            sumMs[singleStep].push_back(times.sumMs);
+            complete = complete && times.listed == kEntries + kDirectories + 1;
         }
     std::printf(
-        "%d entries: in slices longest %.2f ms (%.2f at most), sum %.1f ms; in one go %.1f ms; longest step "
-        "%.3f of it, sum %.2f\n",
-        kEntries, middle(longest[0]), *std::max_element(longest[0].begin(), longest[0].end()), middle(sum[0]),
-        middle(sum[1]), middle(longest[0]) / middle(longest[1]), middle(sum[0]) / middle(sum[1]));
-    return same ? 0 : 1;
+        "%d entries: in slices longest step %.2f ms (max %.2f), sum %.1f ms; in a single step %.1f ms; ratio "
+        "of "
+        "the longest steps %.3f, of the sums %.2f\n",
+        kEntries, median(longestMs[0]), *std::max_element(longestMs[0].begin(), longestMs[0].end()),
+        median(sumMs[0]), median(sumMs[1]), median(longestMs[0]) / median(longestMs[1]),
+        median(sumMs[0]) / median(sumMs[1]));
+    return complete ? 0 : 1;
 }
--- a/bench/module_step.cpp
+++ b/bench/module_step.cpp
@@ -1,4 +1,5 @@
-// Time of the module for one event while it holds many requests: what decides how many a gateway may hold.
+// Time that the scheduler takes for one event while it holds many requests. This bounds how many requests a
+// gateway may have open.
 #include <benchmark/benchmark.h>
 
 #include "spokewheel/scheduler.hpp"
@@ -7,64 +8,65 @@
 
 using namespace spokewheel;
 
-Settings settings() {
-    Settings s;
-    s.maxAttempts = 3;
-    s.meanUnits = 2;
-    s.maxUnits = 8;
-    RequestClass c;
-    c.name = "view";
-    c.effect = Effect::Repeatable;
-    c.latencyTargetMs = 500;
-    c.deadlineMs = 1e9;
-    s.classes.push_back(c);
-    Plan p;
-    p.name = "open";
-    p.nominal = p.reservation = 10;
-    s.plans.push_back(p);
-    return s;
+Settings makeSettings() {
+    Settings settings;
+    settings.maxAttempts = 3;
+    settings.meanUnits = 2;
+    settings.maxUnits = 8;
+    RequestClass view;
+    view.name = "view";
+    view.effect = Effect::Repeatable;
+    view.latencyTargetMs = 500;
+    view.deadlineMs = 1e9;
+    settings.classes.push_back(view);
+    Plan plan;
+    plan.name = "open";
+    plan.nominal = plan.reservation = 10;
+    settings.plans.push_back(plan);
+    return settings;
 }
 
-// `held` requests over 20 volumes and 10 nodes whose windows are full; then one is answered and one comes.
+// The scheduler holds the given number of requests, over 20 volumes, for 10 nodes whose windows are full.
+// Each iteration ends one attempt and submits one request.
 void step(benchmark::State& state) {
-    Scheduler scheduler(settings(), 1);
+    Scheduler scheduler(makeSettings(), 1);
     ListUpdate list;
     for (int i = 0; i < 10; ++i) {
-        NodeEntry e;
-        e.node = "n" + std::to_string(i);
-        e.shard = i;
-        list.entries.push_back(e);
+        NodeEntry entry;
+        entry.node = "n" + std::to_string(i);
+        entry.shard = i;
+        list.entries.push_back(entry);
     }
-    std::vector<Attempt> out;
-    double now = 1000;
+    std::vector<Attempt> open;
+    double nowMs = 1000;
     const auto run = [&](std::vector<Event> events) {
-        for (const auto& a : scheduler.step(now, events))
-            if (const auto* attempt = std::get_if<Attempt>(&a)) out.push_back(*attempt);
+        for (const auto& action : scheduler.step(nowMs, events))
+            if (const auto* attempt = std::get_if<Attempt>(&action)) open.push_back(*attempt);
     };
-    std::uint64_t next = 0;
-    const auto request = [&] {
-        Request r;
-        r.id = std::to_string(next);
-        r.requestClass = "view";
-        r.plan = "open";
-        r.ttlMs = 1e9;
-        r.volume = static_cast<std::int64_t>(next % 20);
-        r.shard = static_cast<int>(next % 10);
-        ++next;
-        return r;
+    std::uint64_t nextId = 0;
+    const auto makeRequest = [&] {
+        Request request;
+        request.id = std::to_string(nextId);
+        request.requestClass = "view";
+        request.plan = "open";
+        request.ttlMs = 1e9;
+        request.volume = static_cast<std::int64_t>(nextId % 20);
+        request.shard = static_cast<int>(nextId % 10);
+        ++nextId;
+        return request;
     };
     run({list});
-    for (std::int64_t i = 0; i < state.range(0) + 40; ++i) run({request()});
+    for (std::int64_t i = 0; i < state.range(0) + 40; ++i) run({makeRequest()});
     for (auto _ : state) {
-        now += 1;
-        AttemptEnded v;
-        v.id = out.front().id;
-        v.node = out.front().node;
-        v.tookMs = 20;
-        v.requestEnded = true;
-        out.erase(out.begin());
-        run({v});
-        run({request()});
+        nowMs += 1;
+        AttemptEnded ended;
+        ended.id = open.front().id;
+        ended.node = open.front().node;
+        ended.tookMs = 20;
+        ended.requestEnded = true;
+        open.erase(open.begin());
+        run({ended});
+        run({makeRequest()});
     }
     state.counters["events"] = benchmark::Counter(2, benchmark::Counter::kIsIterationInvariantRate);
 }
