--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Two commands do all on a fresh machine: `make demo` and `make test`.
+# On a fresh machine `make demo` and `make test` install the packages, build and run everything.
 BUILD := build-gateway
 CMAKE := cmake -S . -G Ninja -DSPOKEWHEEL_TESTS=ON -DSPOKEWHEEL_WERROR=ON
 JOBS := $(shell nproc)
@@ -10,9 +10,9 @@
 SECONDS ?= 20
 SEEDS ?= 3
 SCHEDULERS ?= 24
-# 0: no volumes at their limits.
+# 0: the soak runs without volumes at their limits.
 LIMITS ?= 1
-# CTEST_EXCLUDE is set by scripts/known-red alone.
+# CTEST_EXCLUDE, a regular expression of tests to leave out, must only be set by scripts/known-red.
 
 .PHONY: all setup build test soak sanitize demo bench sizes bad-day matrix limited lists hostile deltas orders format check-format fuzz clean
 
@@ -33,16 +33,16 @@
 	@cmake --build $(BUILD) -j$(JOBS)
 	$(BUILD)/bin/module_step
 	$(BUILD)/bin/gateway_path
-# Measurements that stay out of the tests: one program each.
+# Long measurements that are not part of the tests, one program each.
 sizes limited lists hostile deltas: setup
 	@$(CMAKE) -B $(BUILD) -DCMAKE_BUILD_TYPE=RelWithDebInfo -DSPOKEWHEEL_BENCH=ON >/dev/null
 	@cmake --build $(BUILD) -j$(JOBS)
 	$(BUILD)/bin/$@
-# Random orders of what can happen to a scheduler of the platform, some 6 s a seed.
+# Random orders of the events that a scheduler process handles; about 6 s per seed.
 orders: build
 	SPOKEWHEEL_SEEDS=$(ROUNDS) $(BUILD)/tests/platform_tests --gtest_filter='*Orders*'
-# Real schedulers under overlapping troubles over loopback, each seed with settings of its own; a seed is replayed by
-# SEED and SEEDS=1. Where a rule broke, record, script and logs stay in $(BUILD)/soak/seed-N.
+# Runs real scheduler processes on loopback under overlapping faults, with different settings for each seed. Set SEED and
+# SEEDS=1 to repeat one seed. If a rule was violated, $(BUILD)/soak/seed-N keeps the record, the script and the logs.
 soak: build
 	$(BUILD)/bin/spokewheel-soak --scheduler $(BUILD)/bin/spokewheeld --shim $(abspath $(BUILD))/bin/spokewheel_faults.so \
 	  --folder $(BUILD)/soak --seconds $(SECONDS) --seed $(SEED) --seeds $(SEEDS) --schedulers $(SCHEDULERS) $(if $(filter 0,$(LIMITS)),--no-limits)
