--- a/tests/module/fleet_test.cpp
+++ b/tests/module/fleet_test.cpp
@@ -16,7 +16,7 @@
 
 struct Result {
     double most = 0, all = 0;  // units in the fullest overload span, and in the whole cold time
-    double worst = -1e18;      // by how many requests a span exceeded N + 2 sqrt(N) + 2
+    double worst = -1e18;      // by how many requests a span exceeded N + 2 sqrt(N) + 2, N allowed
 };
 
 // A shard's node restarts and is cold while all hosts have requests for it. It serves one after another, at
@@ -34,25 +34,25 @@
         fleet.push_back(std::make_unique<Host>(settings, static_cast<std::uint64_t>(i) + 1));
         fleet.back()->step(kStart, {list({node("n", 0)})});
     }
-    for (auto& h : fleet) h->step(kStart + 10, {list({node("n", 0, Lifecycle::Ready, kStart + 10)})});
+    for (auto& host : fleet) host->step(kStart + 10, {list({node("n", 0, Lifecycle::Ready, kStart + 10)})});
     Result result;
     std::deque<double> window;
     std::deque<std::pair<std::size_t, Attempt>> queue;
     std::vector<std::size_t> seen(fleet.size(), 0);
-    double due = 0, done = 0;
+    double due = 0, workDone = 0;
     int next = 0;
     for (double now = kStart + 20; now < kStart + settings.coldMs; now += 10) {
         const double age = (now - kStart - 10) / settings.coldMs;
-        const double able = rate * (settings.coldShare + (1 - settings.coldShare) * age);
+        const double capacity = rate * (settings.coldShare + (1 - settings.coldShare) * age);
         for (due += offered / settings.meanUnits / 100; due >= 1; due -= 1, ++next) {
             const auto i = static_cast<std::size_t>(next * 7) % fleet.size();
             fleet[i]->step(now, {request("r" + std::to_string(next), "read", 0, settings.meanUnits)});
         }
-        for (done = queue.empty() ? 0 : done + able / 100; !queue.empty() && done >= settings.meanUnits;
-             done -= settings.meanUnits) {
+        for (workDone = queue.empty() ? 0 : workDone + capacity / 100;
+             !queue.empty() && workDone >= settings.meanUnits; workDone -= settings.meanUnits) {
             const auto [i, attempt] = queue.front();
             queue.pop_front();
-            fleet[i]->endAttempt(now, attempt, Outcome::Served, true, 1000 * settings.meanUnits / able);
+            fleet[i]->endAttempt(now, attempt, Outcome::Served, true, 1000 * settings.meanUnits / capacity);
         }
         for (std::size_t i = 0; i < fleet.size(); ++i) {
             fleet[i]->runTo(now);
@@ -64,9 +64,10 @@
         }
         while (!window.empty() && window.front() <= now - settings.overloadSpanMs) window.pop_front();
         result.most = std::max(result.most, settings.meanUnits * static_cast<double>(window.size()));
-        const double n = settings.overloadFactor * able * settings.overloadSpanMs / 1000 / settings.meanUnits;
-        result.worst =
-            std::max(result.worst, static_cast<double>(window.size()) - (n + 2 * std::sqrt(n) + 2));
+        const double allowed =
+            settings.overloadFactor * capacity * settings.overloadSpanMs / 1000 / settings.meanUnits;
+        result.worst = std::max(result.worst,
+                                static_cast<double>(window.size()) - (allowed + 2 * std::sqrt(allowed) + 2));
     }
     return result;
 }
@@ -104,8 +105,8 @@
             host.endAttempt(now + 5, host.sent.back(), Outcome::Served);
             host.step(now + 6, {list({entry(i % nodes)}, ListForm::Delta)});
         }
-        const std::chrono::duration<double, std::milli> took = std::chrono::steady_clock::now() - from;
-        least = std::min(least, took.count());
+        const std::chrono::duration<double, std::milli> duration = std::chrono::steady_clock::now() - from;
+        least = std::min(least, duration.count());
     }
     return least;
 }
--- a/tests/module/limit_lives_test.cpp
+++ b/tests/module/limit_lives_test.cpp
@@ -34,7 +34,7 @@
     double moveEveryMs = 0;              // after which its requests come through the next scheduler
     bool grows = false;                  // ... or alternately through all schedulers and `hosts` of them
     double dialMs = 0;                   // the longest delay of an attempt on its way to the node
-    int mostUnits = 1;
+    int maxUnits = 1;
     int schedulers = 4;
 };
 void PrintTo(const Scenario& scenario, std::ostream* out) { *out << scenario.name; }
@@ -49,7 +49,7 @@
         plan_.name = "limited";
         plan_.limit = 20;
         plan_.limitBurst = scenario.burst;
-        plan_.slack = std::max(0.1 * scenario.burst, static_cast<double>(scenario.mostUnits));
+        plan_.slack = std::max(0.1 * scenario.burst, static_cast<double>(scenario.maxUnits));
         plan_.nominal = plan_.weight = 1;
         level_ = 0;  // earlier processes may have drawn everything
         for (int i = 0; i < scenario.schedulers; ++i) {
@@ -86,35 +86,35 @@
         std::set<std::string> open;
         std::size_t seen = 0;
         double upAt = 0, restartAt = 0, nextRequestsAt = 0;
-        int life = 0;
+        int incarnation = 0;
         bool listed = false;
     };
     struct InFlight {
         double at;
-        int host, life;
+        int host, incarnation;
         Attempt attempt;
         double units;
     };
-    bool chance(double p) { return std::uniform_real_distribution<>(0, 1)(random_) < p; }
-    double randomUpTo(double most) { return std::uniform_real_distribution<>(0, most)(random_); }
+    bool chance(double probability) { return std::uniform_real_distribution<>(0, 1)(random_) < probability; }
+    double randomUpTo(double max) { return std::uniform_real_distribution<>(0, max)(random_); }
 
     Settings settingsOf(int rank) const {
-        auto s = testSettings();
-        s.hosts = scenario_.schedulers;
-        s.rank = rank;
-        s.maxUnits = scenario_.mostUnits;
-        s.maySendToPeers = scenario_.peers != Peers::None;
-        s.reportsAttemptBegun = true;
-        s.plans[1] = plan_;
-        return s;
+        auto settings = testSettings();
+        settings.hosts = scenario_.schedulers;
+        settings.rank = rank;
+        settings.maxUnits = scenario_.maxUnits;
+        settings.maySendToPeers = scenario_.peers != Peers::None;
+        settings.reportsAttemptBegun = true;
+        settings.plans[1] = plan_;
+        return settings;
     }
-    void start(HostState& m, int rank) {
-        m.host = std::make_unique<Host>(settingsOf(rank), static_cast<unsigned>(random_()));
-        m.seen = 0;
-        m.open.clear();
-        m.listed = false;
-        ++m.life;
-        m.restartAt = std::max(now_, kStart) + scenario_.lifeMs;
+    void start(HostState& state, int rank) {
+        state.host = std::make_unique<Host>(settingsOf(rank), static_cast<unsigned>(random_()));
+        state.seen = 0;
+        state.open.clear();
+        state.listed = false;
+        ++state.incarnation;
+        state.restartAt = std::max(now_, kStart) + scenario_.lifeMs;
     }
     bool servesVolume(int rank) const {
         return (rank - firstHost_ + scenario_.schedulers) % scenario_.schedulers < volumeHosts_;
@@ -130,110 +130,113 @@
                               : scenario_.restarted == Restarted::Half ? scenario_.schedulers / 2
                                                                        : scenario_.schedulers;
         for (int i = 0; i < hostCount; ++i) {
-            auto& m = hosts_[static_cast<std::size_t>(i)];
-            if (now_ < m.restartAt) continue;
-            start(m, i);
-            m.upAt = now_ + scenario_.downMs;
-            m.restartAt = m.upAt + scenario_.lifeMs;
+            auto& state = hosts_[static_cast<std::size_t>(i)];
+            if (now_ < state.restartAt) continue;
+            start(state, i);
+            state.upAt = now_ + scenario_.downMs;
+            state.restartAt = state.upAt + scenario_.lifeMs;
         }
     }
-    void stepHost(HostState& m, int rank) {
-        if (now_ < m.upAt) {
-            m.inbox.clear();
+    void stepHost(HostState& state, int rank) {
+        if (now_ < state.upAt) {
+            state.inbox.clear();
             if (servesVolume(rank)) result_.downMs += kTickMs;
             return;
         }
         std::vector<Event> events;
-        if (!m.listed) {
+        if (!state.listed) {
             std::vector<NodeEntry> nodes;
             for (int i = 0; i < 30; ++i) nodes.push_back(node("n" + std::to_string(i), i));
             events.push_back(list(nodes));
         }
-        m.listed = true;
-        receive(m, events);
-        addRequests(m, rank, events);
-        if (events.empty()) m.host->runTo(now_);
-        else m.host->step(now_, events);
-        m.host->runTo(now_);
-        send(m, rank);
-        close(m);
-        sendMessages(m, rank);
+        state.listed = true;
+        receive(state, events);
+        addRequests(state, rank, events);
+        if (events.empty()) state.host->runTo(now_);
+        else state.host->step(now_, events);
+        state.host->runTo(now_);
+        send(state, rank);
+        close(state);
+        sendMessages(state, rank);
     }
-    void receive(HostState& m, std::vector<Event>& events) {
-        for (auto at = m.inbox.begin(); at != m.inbox.end();) {
-            if (at->at > now_) {
-                ++at;
+    void receive(HostState& state, std::vector<Event>& events) {
+        for (auto delivery = state.inbox.begin(); delivery != state.inbox.end();) {
+            if (delivery->at > now_) {
+                ++delivery;
                 continue;
             }
-            events.push_back(PeerMessage{at->from, at->bytes});
-            at = m.inbox.erase(at);
+            events.push_back(PeerMessage{delivery->from, delivery->bytes});
+            delivery = state.inbox.erase(delivery);
         }
     }
-    void addRequests(HostState& m, int rank, std::vector<Event>& events) {
-        if (!servesVolume(rank) || now_ < m.nextRequestsAt) return;
-        while (m.open.size() < kClients) {
-            auto r = request("r" + std::to_string(++nextId_), "read", -1,
-                             1 + static_cast<double>(random_() % static_cast<unsigned>(scenario_.mostUnits)));
-            r.plan = "limited";
-            r.volume = kVolume;
-            r.hosts = volumeHosts_;
-            units_[r.id] = r.units;
-            m.open.insert(r.id);
-            events.push_back(r);
+    void addRequests(HostState& state, int rank, std::vector<Event>& events) {
+        if (!servesVolume(rank) || now_ < state.nextRequestsAt) return;
+        while (state.open.size() < kClients) {
+            auto newRequest =
+                request("r" + std::to_string(++nextId_), "read", -1,
+                        1 + static_cast<double>(random_() % static_cast<unsigned>(scenario_.maxUnits)));
+            newRequest.plan = "limited";
+            newRequest.volume = kVolume;
+            newRequest.hosts = volumeHosts_;
+            units_[newRequest.id] = newRequest.units;
+            state.open.insert(newRequest.id);
+            events.push_back(newRequest);
         }
-        m.nextRequestsAt = now_ + 20;
+        state.nextRequestsAt = now_ + 20;
     }
-    void send(HostState& m, int rank) {
-        for (; m.seen < m.host->sent.size(); ++m.seen) {
-            const auto attempt = m.host->sent[m.seen];
-            const double late = scenario_.dialMs > 0 && chance(0.3) ? randomUpTo(scenario_.dialMs) : 0;
-            inFlight_.push_back({now_ + late, rank, m.life, attempt, units_[attempt.id]});
+    void send(HostState& state, int rank) {
+        for (; state.seen < state.host->sent.size(); ++state.seen) {
+            const auto attempt = state.host->sent[state.seen];
+            const double delayMs = scenario_.dialMs > 0 && chance(0.3) ? randomUpTo(scenario_.dialMs) : 0;
+            inFlight_.push_back({now_ + delayMs, rank, state.incarnation, attempt, units_[attempt.id]});
         }
     }
     // Attempts reach their nodes; those of a process that ended meanwhile were never written.
     void deliverAttempts() {
         std::vector<InFlight> later;
-        for (const auto& one : inFlight_) {
-            if (one.at > now_) {
-                later.push_back(one);
+        for (const auto& inFlight : inFlight_) {
+            if (inFlight.at > now_) {
+                later.push_back(inFlight);
                 continue;
             }
-            auto& m = hosts_[static_cast<std::size_t>(one.host)];
-            if (m.life != one.life) continue;
-            if (!m.host->mayBegin(now_, one.attempt.id, m.host->attemptCounts[one.attempt.id] - 1)) {
-                m.host->endAttempt(now_, one.attempt, Outcome::NotSent);
+            auto& state = hosts_[static_cast<std::size_t>(inFlight.host)];
+            if (state.incarnation != inFlight.incarnation) continue;
+            if (!state.host->mayBegin(now_, inFlight.attempt.id,
+                                      state.host->attemptCounts[inFlight.attempt.id] - 1)) {
+                state.host->endAttempt(now_, inFlight.attempt, Outcome::NotSent);
                 continue;
             }
-            m.host->step(now_, {AttemptBegun{one.attempt.id}});
-            if (drawn_.insert(one.attempt.id).second) {
+            state.host->step(now_, {AttemptBegun{inFlight.attempt.id}});
+            if (drawn_.insert(inFlight.attempt.id).second) {
                 level_ = std::min(plan_.limitBurst, level_ + plan_.limit * (now_ - refilledAt_) / 1000);
                 refilledAt_ = now_;
-                level_ -= one.units;
+                level_ -= inFlight.units;
                 result_.lowestLevel = std::min(result_.lowestLevel, level_ + plan_.slack);
-                result_.served += one.units;
+                result_.served += inFlight.units;
             }
-            m.host->endAttempt(now_, one.attempt, Outcome::Served);
-            m.open.erase(one.attempt.id);
+            state.host->endAttempt(now_, inFlight.attempt, Outcome::Served);
+            state.open.erase(inFlight.attempt.id);
         }
         inFlight_.swap(later);
     }
-    void close(HostState& m) {
-        for (auto id = m.open.begin(); id != m.open.end();)
-            id = m.host->refused.count(*id) || m.host->failed.count(*id) ? m.open.erase(id) : std::next(id);
+    void close(HostState& state) {
+        for (auto id = state.open.begin(); id != state.open.end();)
+            id = state.host->refused.count(*id) || state.host->failed.count(*id) ? state.open.erase(id)
+                                                                                 : std::next(id);
     }
-    void sendMessages(HostState& m, int rank) {
-        for (const auto& told : std::exchange(m.host->outgoing, {}))
+    void sendMessages(HostState& state, int rank) {
+        for (const auto& message : std::exchange(state.host->outgoing, {}))
             for (int to = 0; to < scenario_.schedulers; ++to) {
-                if (to == rank || (told.to >= 0 && told.to != to)) continue;
+                if (to == rank || (message.to >= 0 && message.to != to)) continue;
                 if (scenario_.peers == Peers::Cut && to % 2 != rank % 2) continue;
-                auto& box = hosts_[static_cast<std::size_t>(to)].inbox;
+                auto& inbox = hosts_[static_cast<std::size_t>(to)].inbox;
                 if (scenario_.peers != Peers::Lossy) {
-                    box.push_back({now_ + 1 + randomUpTo(10), rank, told.bytes});
+                    inbox.push_back({now_ + 1 + randomUpTo(10), rank, message.bytes});
                     continue;
                 }
                 if (!chance(0.3))
-                    box.push_back({now_ + 1 + randomUpTo(chance(0.2) ? 3000 : 30), rank, told.bytes});
-                if (chance(0.2)) box.push_back({now_ + 1 + randomUpTo(2000), rank, told.bytes});
+                    inbox.push_back({now_ + 1 + randomUpTo(chance(0.2) ? 3000 : 30), rank, message.bytes});
+                if (chance(0.2)) inbox.push_back({now_ + 1 + randomUpTo(2000), rank, message.bytes});
             }
     }
 
@@ -292,7 +295,7 @@
     scenario.restarted = Restarted::All;
     out.push_back(scenario);
     scenario = {"AllKilledOfThreeLargeRequests", 3, 72};
-    scenario.restarted = Restarted::All, scenario.mostUnits = 6, scenario.lifeMs = 3000;
+    scenario.restarted = Restarted::All, scenario.maxUnits = 6, scenario.lifeMs = 3000;
     out.push_back(scenario);
     for (const auto peers : {Peers::Lossy, Peers::Cut, Peers::None}) {
         const bool lossy = peers == Peers::Lossy, cut = peers == Peers::Cut;
--- a/tests/module/limit_test.cpp
+++ b/tests/module/limit_test.cpp
@@ -81,7 +81,7 @@
 TEST(Split, AllZeroWeightsShareEvenlyAndIdlePartsAreLeased) {
     Host a(settingsOf(2, 0), 1), b(settingsOf(2, 1), 2);
     std::size_t answered = 0;
-    const auto turn = [&](double now) {
+    const auto advance = [&](double now) {
         for (; answered < a.sent.size(); ++answered) a.endAttempt(now - 1, a.sent[answered], Outcome::Served);
         a.runTo(now);
         b.runTo(now);
@@ -91,14 +91,15 @@
     b.step(kStart, {list(thirtyNodes())});
     a.step(kStart + 400, limitedRequests(1000, 1, 2));
     b.step(kStart + 400, limitedRequests(1000, 1, 2));
-    for (double t = 410; t <= 8000; t += 10) turn(kStart + t);
+    for (double afterMs = 410; afterMs <= 8000; afterMs += 10) advance(kStart + afterMs);
     const auto before = a.sent.size();
     a.step(kStart + 8010, limitedRequests(0, 300, 2));
-    for (double t = 8020; t <= 8200; t += 10) turn(kStart + t);  // up to the next boundary
+    for (double afterMs = 8020; afterMs <= 8200; afterMs += 10)
+        advance(kStart + afterMs);  // up to the next boundary
     const auto even = a.sent.size() - before;
     EXPECT_GE(even, 10u);
     EXPECT_LE(even, 18u);  // a credit of floor(36 / 2)
-    for (double t = 8210; t <= 10250; t += 10) turn(kStart + t);
+    for (double afterMs = 8210; afterMs <= 10250; afterMs += 10) advance(kStart + afterMs);
     const auto later = a.sent.size() - before - even;
     // Two seconds refill 40 units. An even part would be 20; three quarters of the limit may be leased to a
     // busy host.
@@ -121,8 +122,8 @@
             std::vector<SendToPeers> fromA, fromB;
             fromA.swap(a.outgoing);
             fromB.swap(b->outgoing);
-            for (auto& m : fromA) b->step(now + offset, {PeerMessage{0, m.bytes}});
-            for (auto& m : fromB) a.step(now, {PeerMessage{1, m.bytes}});
+            for (auto& message : fromA) b->step(now + offset, {PeerMessage{0, message.bytes}});
+            for (auto& message : fromB) a.step(now, {PeerMessage{1, message.bytes}});
         };
         a.step(kStart, {list(thirtyNodes())});
         const auto begin = [&](double at, double shift) {
@@ -133,14 +134,14 @@
         begin(kStart + 400, restarts ? 0 : offset);
         if (restarts) {
             const double later = std::exchange(offset, 0);
-            for (double t = 500; t <= 1000; t += 250) stepBoth(kStart + t);
+            for (double afterMs = 500; afterMs <= 1000; afterMs += 250) stepBoth(kStart + afterMs);
             offset = later;
             b = std::make_unique<Host>(settingsOf(2, 1), 3);
             begin(kStart + 1100, offset);
         }
-        for (double t = 1250; t <= 8000; t += 250) stepBoth(kStart + t);
+        for (double afterMs = 1250; afterMs <= 8000; afterMs += 250) stepBoth(kStart + afterMs);
         a.step(kStart + 8010, limitedRequests(0, 300, 2));
-        for (double t = 8250; t <= 12250; t += 250) stepBoth(kStart + t);
+        for (double afterMs = 8250; afterMs <= 12250; afterMs += 250) stepBoth(kStart + afterMs);
         return a.sent.size();
     };
     for (const bool restarts : {false, true}) {
@@ -162,8 +163,8 @@
     };
     for (const int known : {0, 1}) {
         Host host(settingsOf(2, 0)), other(settingsOf(2, 1), 2);
-        for (auto* h : {&host, &other})
-            h->step(kStart, {list(known ? std::vector<NodeEntry>{} : thirtyNodes())});
+        for (auto* each : {&host, &other})
+            each->step(kStart, {list(known ? std::vector<NodeEntry>{} : thirtyNodes())});
         if (known) host.step(kStart, {list(thirtyNodes())});
         host.step(kStart + 400, ofVolume(limitedRequests(1000, 1, 2)));
         host.runTo(kStart + 900);
@@ -173,7 +174,7 @@
                        ofVolume({limitedRequest("large", 2, 30)}));  // more than its credit of 27
         host.runTo(kStart + 5000);
         other.runTo(kStart + 5000);
-        for (const auto& t : other.outgoing) host.step(kStart + 5004, {PeerMessage{1, t.bytes}});
+        for (const auto& message : other.outgoing) host.step(kStart + 5004, {PeerMessage{1, message.bytes}});
         host.runTo(kStart + 5495);
         host.step(kStart + 5496, ofVolume(limitedRequests(0, 30, 2)));
         if (known) EXPECT_EQ(host.sent.size(), 1u + 4u);
@@ -208,16 +209,16 @@
 TEST(Split, VolumesWhoseNumbersEndAlikeStayApart) {
     Host a(settingsOf(3, 0), 1),
         b(settingsOf(3, 1), 2);  // the volumes have two hosts: the third does not join
-    for (auto* h : {&a, &b}) h->step(kStart, {list(thirtyNodes())});
+    for (auto* host : {&a, &b}) host->step(kStart, {list(thirtyNodes())});
     std::vector<Event> mine = limitedRequests(0, 60, 2), others = limitedRequests(100, 60, 2);
-    for (auto& e : mine) std::get<Request>(e).volume = 5;
-    for (auto& e : others) std::get<Request>(e).volume = 5 + (std::int64_t{1} << 34);
+    for (auto& event : mine) std::get<Request>(event).volume = 5;
+    for (auto& event : others) std::get<Request>(event).volume = 5 + (std::int64_t{1} << 34);
     a.step(kStart + 10, mine);
     b.step(kStart + 10, others);
     a.runTo(kStart + 250);
     ASSERT_FALSE(a.outgoing.empty());
     const auto before = b.outgoing.size();
-    for (auto& m : a.outgoing) b.step(kStart + 255, {PeerMessage{0, m.bytes}});
+    for (auto& message : a.outgoing) b.step(kStart + 255, {PeerMessage{0, message.bytes}});
     b.runTo(kStart + 500);
     for (std::size_t i = before; i < b.outgoing.size(); ++i)
         EXPECT_TRUE(!readCreditReport(b.outgoing[i].bytes) ||
@@ -233,10 +234,10 @@
     host.runTo(kStart + 9000);
     std::set<int> asked;
     int asks = 0;
-    for (const auto& t : host.outgoing) {
-        EXPECT_FALSE(readCreditReport(t.bytes));
-        if (!readQuotaMessage(t.bytes, settingsOf(200, 0))) continue;
-        asked.insert(t.to);
+    for (const auto& message : host.outgoing) {
+        EXPECT_FALSE(readCreditReport(message.bytes));
+        if (!readQuotaMessage(message.bytes, settingsOf(200, 0))) continue;
+        asked.insert(message.to);
         ++asks;
     }
     EXPECT_LE(asked.size(), 2u);
@@ -250,27 +251,27 @@
 TEST(Split, AHostAloneWithWorkIsLentWhatIdlesAtTheOthers) {
     std::vector<std::unique_ptr<Host>> hosts;
     const auto fresh = [](int rank) {
-        auto s = settingsOf(3, rank);
-        s.plans[1].limitBurst = 72;
-        return std::make_unique<Host>(s, static_cast<unsigned>(rank + 1));
+        auto settings = settingsOf(3, rank);
+        settings.plans[1].limitBurst = 72;
+        return std::make_unique<Host>(settings, static_cast<unsigned>(rank + 1));
     };
     for (int i = 0; i < 3; ++i) hosts.push_back(fresh(i));
-    for (auto& h : hosts) h->step(kStart, {list(thirtyNodes())});
+    for (auto& host : hosts) host->step(kStart, {list(thirtyNodes())});
     std::size_t answered = 0;
     int asked = 0;
     const auto run = [&](double from, double to) {
         const auto before = hosts[0]->sent.size();
-        for (double t = from; t < to; t += 10) {
+        for (double now = from; now < to; now += 10) {
             if (hosts[0]->sent.size() + hosts[0]->refused.size() + 40 > static_cast<std::size_t>(asked))
-                hosts[0]->step(t, limitedRequests(std::exchange(asked, asked + 20), 20, 3));
+                hosts[0]->step(now, limitedRequests(std::exchange(asked, asked + 20), 20, 3));
             for (; answered < hosts[0]->sent.size(); ++answered)
-                hosts[0]->endAttempt(t, hosts[0]->sent[answered], Outcome::Served);
-            for (auto& h : hosts) h->runTo(t);
+                hosts[0]->endAttempt(now, hosts[0]->sent[answered], Outcome::Served);
+            for (auto& host : hosts) host->runTo(now);
             for (std::size_t i = 0; i < 3; ++i) {
-                for (auto& m : std::exchange(hosts[i]->outgoing, {}))
+                for (auto& message : std::exchange(hosts[i]->outgoing, {}))
                     for (std::size_t to = 0; to < 3; ++to)
-                        if (to != i && (m.to < 0 || m.to == static_cast<int>(to)))
-                            hosts[to]->step(t, {PeerMessage{static_cast<int>(i), m.bytes}});
+                        if (to != i && (message.to < 0 || message.to == static_cast<int>(to)))
+                            hosts[to]->step(now, {PeerMessage{static_cast<int>(i), message.bytes}});
             }
         }
         return static_cast<double>(hosts[0]->sent.size() - before) / (to - from) * 1000;
@@ -293,26 +294,27 @@
 TEST(Split, WhatIsLeasedInALateOrRepeatedAnswerIsDropped) {
     // The volume's pools are at the second and the third of three hosts; the third does not respond.
     const auto asked = [](const std::string& id) {
-        auto r = limitedRequest(id, 2, 6);
-        r.volume = kPoolAtSecondOfThree;
-        return r;
+        auto volumeRequest = limitedRequest(id, 2, 6);
+        volumeRequest.volume = kPoolAtSecondOfThree;
+        return volumeRequest;
     };
     for (const double late : {4.0, 1100.0}) {
         Host a(settingsOf(3, 0), 1), b(settingsOf(3, 1), 2);
-        for (auto* h : {&a, &b}) h->step(kStart, {list(thirtyNodes())});
-        for (auto* h : {&a, &b}) h->runTo(kStart + 5000);
+        for (auto* host : {&a, &b}) host->step(kStart, {list(thirtyNodes())});
+        for (auto* host : {&a, &b}) host->runTo(kStart + 5000);
         a.outgoing.clear();
         a.step(kStart + 5001, {asked("first")});
-        for (const auto& m : std::exchange(a.outgoing, {})) b.step(kStart + 5003, {PeerMessage{0, m.bytes}});
+        for (const auto& message : std::exchange(a.outgoing, {}))
+            b.step(kStart + 5003, {PeerMessage{0, message.bytes}});
         std::vector<SendToPeers> answers;
-        for (const auto& m : b.outgoing)
-            if (readQuotaMessage(m.bytes, settingsOf(3, 0))) answers.push_back(m);
+        for (const auto& message : b.outgoing)
+            if (readQuotaMessage(message.bytes, settingsOf(3, 0))) answers.push_back(message);
         ASSERT_EQ(answers.size(), 1u);
-        const double at = kStart + 5001 + late;
-        a.runTo(at - 1);
-        for (int i = 0; i < 3; ++i) a.step(at, {PeerMessage{1, answers[0].bytes}});
+        const double arrivesAt = kStart + 5001 + late;
+        a.runTo(arrivesAt - 1);
+        for (int i = 0; i < 3; ++i) a.step(arrivesAt, {PeerMessage{1, answers[0].bytes}});
         EXPECT_EQ(a.sent.size(), late < 1000 ? 1u : 0u);
-        a.step(at + 1, {asked("second")});
+        a.step(arrivesAt + 1, {asked("second")});
         EXPECT_EQ(a.sent.size(), late < 1000 ? 1u : 0u);  // the duplicates leased nothing more
     }
 }
@@ -473,26 +475,26 @@
 // open requests nears what the host can hold, requests that wait for credit are refused at their latency
 // target, without waiting for a subperiod. With room they are held longer.
 TEST(Starved, WhatIsLateGivesItsPlaceWhereRequestsCrowdTheHost) {
-    for (const int most : {0, 60, 400}) {
+    for (const int maxOpen : {0, 60, 400}) {
         auto settings = testSettings();
-        settings.maxOpen = most;
+        settings.maxOpen = maxOpen;
         Host host(settings);
         host.step(kStart, {list(thirtyNodes())});
         host.runTo(kStart + 2000);
         std::vector<Event> reads;  // these stay open: no node holds their shard
         for (int i = 0; i < 40; ++i) {
-            auto r = request("n" + std::to_string(i), "read", 99);
-            r.volume = 8;
-            reads.push_back(r);
+            auto read = request("n" + std::to_string(i), "read", 99);
+            read.volume = 8;
+            reads.push_back(read);
         }
         // Past their latency target on arrival: their clients have tried before.
         auto first = limitedRequests(0, 1, 1), later = limitedRequests(1, 60, 1);
-        for (auto& e : later) std::get<Request>(e).ttlMs = 1900;
+        for (auto& event : later) std::get<Request>(event).ttlMs = 1900;
         host.step(kStart + 2010, first);
         host.step(kStart + 2020, reads);
         host.step(kStart + 2030, later);
         host.runTo(kStart + 2249);
-        if (most == 60) EXPECT_GE(host.refused.size(), 25u);  // all but what the bucket holds
+        if (maxOpen == 60) EXPECT_GE(host.refused.size(), 25u);  // all but what the bucket holds
         else EXPECT_EQ(host.refused.size(), 0u);
     }
 }
@@ -572,15 +574,15 @@
 TEST(PeerMessages, StayInTheirSizeAndGarbledOnesAreDropped) {
     Host a(settingsOf(2, 0), 1), b(settingsOf(2, 1), 2), twin(settingsOf(2, 1), 2);
     a.step(kStart, {list(thirtyNodes())});
-    for (auto* h : {&b, &twin}) {
-        h->step(kStart, {list(thirtyNodes())});
-        h->step(kStart + 100, limitedRequests(0, 50, 2));
+    for (auto* host : {&b, &twin}) {
+        host->step(kStart, {list(thirtyNodes())});
+        host->step(kStart + 100, limitedRequests(0, 50, 2));
     }
     std::vector<Event> work;
-    for (int v = 0; v < 180; ++v) {  // three for each volume, more than it can send at its start
-        auto r = limitedRequest("v" + std::to_string(v), 2, 6);
-        r.volume = (std::int64_t{1} << 52) + v % 60;
-        work.push_back(r);
+    for (int i = 0; i < 180; ++i) {  // three for each volume, more than it can send at its start
+        auto volumeRequest = limitedRequest("v" + std::to_string(i), 2, 6);
+        volumeRequest.volume = (std::int64_t{1} << 52) + i % 60;
+        work.push_back(volumeRequest);
     }
     a.step(kStart + 100, work);
     a.runTo(kStart + 260);
@@ -589,26 +591,26 @@
     std::vector<Event> garbage = {PeerMessage{0, ""}, PeerMessage{5, a.outgoing[0].bytes},
                                   PeerMessage{-1, a.outgoing[0].bytes}, PeerMessage{1, a.outgoing[0].bytes},
                                   PeerMessage{0, std::string(300, '\1')}};
-    for (const auto& told : a.outgoing) {
-        const auto& m = told.bytes;
-        EXPECT_LE(m.size(), 256u);
-        auto wrong = m;
-        wrong[0] = 99;
-        garbage.push_back(PeerMessage{0, wrong});
-        garbage.push_back(PeerMessage{0, m.substr(0, m.size() - 1)});
+    for (const auto& message : a.outgoing) {
+        const auto& bytes = message.bytes;
+        EXPECT_LE(bytes.size(), 256u);
+        auto unknownTag = bytes;
+        unknownTag[0] = 99;
+        garbage.push_back(PeerMessage{0, unknownTag});
+        garbage.push_back(PeerMessage{0, bytes.substr(0, bytes.size() - 1)});
     }
     b.step(kStart + 262, garbage);
     twin.step(kStart + 262, {Wake{}});
-    for (double t = 300; t < 4000; t += 250) {
-        b.runTo(kStart + t);
-        twin.runTo(kStart + t);
+    for (double afterMs = 300; afterMs < 4000; afterMs += 250) {
+        b.runTo(kStart + afterMs);
+        twin.runTo(kStart + afterMs);
     }
     EXPECT_EQ(b.sentAt, twin.sentAt);
     EXPECT_GE(b.unreadableMessages(), 2 * a.outgoing.size());
     EXPECT_EQ(twin.unreadableMessages(), 0u);
     for (int i = 0; i < 3000; ++i) {  // random bytes have no effect
         std::string noise(random() % 64, '\0');
-        for (auto& c : noise) c = static_cast<char>(random());
+        for (auto& byte : noise) byte = static_cast<char>(random());
         if (!noise.empty()) noise[0] = i % 2 ? 2 : 4;
         b.step(kStart + 4000 + i, {PeerMessage{0, noise}});
     }
@@ -617,8 +619,8 @@
 // An introduction takes effect as a whole and with a known plan, or not at all.
 TEST(PeerMessages, IntroductionsComeBackAndThoseOfUnknownPlansAreDropped) {
     const auto settings = testSettings();
-    const std::vector<VolumeIntroduction> words = {{7, 1}, {std::int64_t{1} << 40, 0}};
-    const auto packed = pack(words);
+    const std::vector<VolumeIntroduction> introductions = {{7, 1}, {std::int64_t{1} << 40, 0}};
+    const auto packed = pack(introductions);
     ASSERT_EQ(packed.size(), 1u);
     const auto read = readIntroductions(packed[0], settings);
     ASSERT_TRUE(read);
@@ -647,36 +649,38 @@
 // times of half the hosts) and skewed demand. Returns the lowest level of the volume's token bucket.
 double lowestLevel(unsigned seed, const Scenario& scenario) {
     std::mt19937 random(seed);
-    const auto chance = [&random](double p) { return std::uniform_real_distribution<>(0, 1)(random) < p; };
+    const auto chance = [&random](double probability) {
+        return std::uniform_real_distribution<>(0, 1)(random) < probability;
+    };
     auto plan = testSettings().plans[1];
     plan.limitBurst = std::max(plan.limitBurst, 12.0 * scenario.hosts);  // two largest requests for each host
     plan.slack = std::max(plan.slack, plan.limitBurst / 10);
-    const auto fresh = [&](int rank, unsigned s) {
+    const auto fresh = [&](int rank, unsigned hostSeed) {
         auto settings = settingsOf(scenario.hosts, rank);
         settings.plans[1] = plan;
-        return std::make_unique<Host>(settings, s);
+        return std::make_unique<Host>(settings, hostSeed);
     };
     const auto count = static_cast<std::size_t>(scenario.hosts);
     std::vector<std::unique_ptr<Host>> hosts;
     std::vector<std::size_t> counted(count, 0);
     std::vector<double> downUntil(count, 0), listed(count, 0), nextStep(count, 0);
-    std::vector<std::vector<Delivery>> mail(count);
+    std::vector<std::vector<Delivery>> inboxes(count);
     for (int i = 0; i < scenario.hosts; ++i)
         hosts.push_back(fresh(i, seed * 1000 + static_cast<unsigned>(i)));
     std::map<std::string, double> units;
-    double store = plan.limitBurst, filled = kStart, lowest = store, calmUntil = kStart + 6000;
-    int id = 0, leader = 0;
+    double level = plan.limitBurst, refilledAt = kStart, lowest = level, nextRestartAt = kStart + 6000;
+    int requestCount = 0, busiest = 0;
     for (double now = kStart; now < kStart + (scenario.alone ? 60000 : 12000); now += 4) {
-        if (chance(scenario.alone ? 0.0004 : 0.002)) leader = static_cast<int>(random() % count);
-        if (scenario.restarts && now > calmUntil) {
-            calmUntil = now + 20000 * plan.limitBurst / plan.limit / 36;
-            const int struck = chance(0.5) ? scenario.hosts / 2 : 1;
-            for (int i = 0; i < struck; ++i) {
-                const auto who = random() % count;
-                hosts[who] = fresh(static_cast<int>(who), static_cast<unsigned>(random()));
-                counted[who] = 0;
-                listed[who] = 0;
-                downUntil[who] = now + (chance(0.5) ? 0 : 300);
+        if (chance(scenario.alone ? 0.0004 : 0.002)) busiest = static_cast<int>(random() % count);
+        if (scenario.restarts && now > nextRestartAt) {
+            nextRestartAt = now + 20000 * plan.limitBurst / plan.limit / 36;
+            const int restarting = chance(0.5) ? scenario.hosts / 2 : 1;
+            for (int i = 0; i < restarting; ++i) {
+                const auto restarted = random() % count;
+                hosts[restarted] = fresh(static_cast<int>(restarted), static_cast<unsigned>(random()));
+                counted[restarted] = 0;
+                listed[restarted] = 0;
+                downUntil[restarted] = now + (chance(0.5) ? 0 : 300);
             }
         }
         for (std::size_t i = 0; i < count; ++i) {
@@ -684,19 +688,19 @@
             std::vector<Event> events;
             if (listed[i] == 0) events.push_back(list(thirtyNodes(), ListForm::Cached));
             listed[i] = 1;
-            auto& box = mail[i];
-            for (std::size_t m = 0; m < box.size();)
-                if (box[m].at <= now) {
-                    events.push_back(PeerMessage{box[m].from, box[m].bytes});
-                    box.erase(box.begin() + static_cast<std::ptrdiff_t>(m));
+            auto& inbox = inboxes[i];
+            for (std::size_t next = 0; next < inbox.size();)
+                if (inbox[next].at <= now) {
+                    events.push_back(PeerMessage{inbox[next].from, inbox[next].bytes});
+                    inbox.erase(inbox.begin() + static_cast<std::ptrdiff_t>(next));
                 } else {
-                    ++m;
+                    ++next;
                 }
-            if (chance(static_cast<int>(i) == leader ? 0.5 : scenario.alone ? 0 : 0.18 / scenario.hosts)) {
-                const double u = 1 + static_cast<double>(random() % 6);
-                const auto name = "r" + std::to_string(++id);
-                units[name] = u;
-                events.push_back(limitedRequest(name, scenario.hosts, u));
+            if (chance(static_cast<int>(i) == busiest ? 0.5 : scenario.alone ? 0 : 0.18 / scenario.hosts)) {
+                const double requestUnits = 1 + static_cast<double>(random() % 6);
+                const auto name = "r" + std::to_string(++requestCount);
+                units[name] = requestUnits;
+                events.push_back(limitedRequest(name, scenario.hosts, requestUnits));
             }
             if (events.empty() && now < nextStep[i]) continue;
             nextStep[i] = now + 20;
@@ -704,29 +708,31 @@
             auto& host = *hosts[i];
             host.step(now, events);
             for (; counted[i] < host.sent.size(); ++counted[i]) {
-                const auto a = host.sent[counted[i]];
-                if (host.attemptCounts[a.id] > 1) continue;
-                store = std::min(plan.limitBurst, store + plan.limit * (now - filled) / 1000);
-                filled = now;
-                store -= units[a.id];
-                lowest = std::min(lowest, store);
-                host.endAttempt(now, a, Outcome::Served);
+                const auto attempt = host.sent[counted[i]];
+                if (host.attemptCounts[attempt.id] > 1) continue;
+                level = std::min(plan.limitBurst, level + plan.limit * (now - refilledAt) / 1000);
+                refilledAt = now;
+                level -= units[attempt.id];
+                lowest = std::min(lowest, level);
+                host.endAttempt(now, attempt, Outcome::Served);
             }
-            for (const auto& told : host.outgoing)
+            for (const auto& message : host.outgoing)
                 for (std::size_t to = 0; to < count; ++to) {
-                    if (to == i || (told.to >= 0 && told.to != static_cast<int>(to)) || chance(scenario.loss))
+                    if (to == i || (message.to >= 0 && message.to != static_cast<int>(to)) ||
+                        chance(scenario.loss))
                         continue;
                     const double delay =
                         chance(scenario.lateShare) ? 200 + random() % 3000 : 1 + random() % 29;
-                    mail[to].push_back({now + delay, static_cast<int>(i), static_cast<int>(to), told.bytes});
+                    inboxes[to].push_back(
+                        {now + delay, static_cast<int>(i), static_cast<int>(to), message.bytes});
                     if (chance(0.1))
-                        mail[to].push_back(
-                            {now + delay + random() % 500, static_cast<int>(i), 0, told.bytes});
+                        inboxes[to].push_back(
+                            {now + delay + random() % 500, static_cast<int>(i), 0, message.bytes});
                 }
             host.outgoing.clear();
         }
     }
-    EXPECT_GT(id, 100);
+    EXPECT_GT(requestCount, 100);
     return lowest;
 }
 
@@ -772,37 +778,38 @@
     void run(double from, double until) {
         const auto count = hosts.size();
         std::vector<std::size_t> seen(count, 0);
-        std::vector<std::pair<double, std::pair<std::size_t, Attempt>>> out;
-        std::vector<Delivery> mail;
+        std::vector<std::pair<double, std::pair<std::size_t, Attempt>>> inFlight;
+        std::vector<Delivery> inFlightMessages;
         std::mt19937 random(5);
         for (std::size_t i = 0; i < count; ++i) hosts[i]->step(from, {request("r", "read", 0, 2)});
         for (double now = from; now < until; now += 2) {
             std::vector<std::vector<Event>> events(count);
             std::vector<Delivery> later;
-            for (auto& m : mail)
-                if (m.at <= now)
-                    events[static_cast<std::size_t>(m.to)].push_back(PeerMessage{m.from, m.bytes});
-                else later.push_back(m);
-            mail.swap(later);
-            while (!out.empty() && out.front().first <= now) {
-                const auto [i, a] = out.front().second;
-                out.erase(out.begin());
-                hosts[i]->endAttempt(now, a, Outcome::Served, true, 40);
+            for (auto& message : inFlightMessages)
+                if (message.at <= now)
+                    events[static_cast<std::size_t>(message.to)].push_back(
+                        PeerMessage{message.from, message.bytes});
+                else later.push_back(message);
+            inFlightMessages.swap(later);
+            while (!inFlight.empty() && inFlight.front().first <= now) {
+                const auto [i, attempt] = inFlight.front().second;
+                inFlight.erase(inFlight.begin());
+                hosts[i]->endAttempt(now, attempt, Outcome::Served, true, 40);
                 ++served;
             }
             for (std::size_t i = 0; i < count; ++i) {
                 if (!events[i].empty()) hosts[i]->step(now, events[i]);
                 hosts[i]->runTo(now);
                 for (; seen[i] < hosts[i]->sent.size(); ++seen[i]) {
-                    out.push_back({now + 40, {i, hosts[i]->sent[seen[i]]}});
+                    inFlight.push_back({now + 40, {i, hosts[i]->sent[seen[i]]}});
                     sends.push_back(now);
                 }
-                for (const auto& t : hosts[i]->outgoing)
-                    if (t.to >= 0 && std::uniform_real_distribution<>(0, 1)(random) >= loss)
-                        mail.push_back({now + 6, static_cast<int>(i), t.to, t.bytes});
+                for (const auto& message : hosts[i]->outgoing)
+                    if (message.to >= 0 && std::uniform_real_distribution<>(0, 1)(random) >= loss)
+                        inFlightMessages.push_back({now + 6, static_cast<int>(i), message.to, message.bytes});
                 hosts[i]->outgoing.clear();
             }
-            maxInFlight = std::max(maxInFlight, out.size());
+            maxInFlight = std::max(maxInFlight, inFlight.size());
         }
     }
     std::vector<std::unique_ptr<Host>> hosts;
@@ -844,7 +851,7 @@
     std::mt19937 random(11);
     for (int i = 0; i < 5000; ++i) {
         std::string noise(1 + random() % 40, '\0');
-        for (auto& c : noise) c = static_cast<char>(random());
+        for (auto& byte : noise) byte = static_cast<char>(random());
         noise[0] = 3;
         host.step(kStart + 2 + i * 0.01, {PeerMessage{static_cast<int>(random() % 200), noise}});
     }
--- a/tests/module/policy_test.cpp
+++ b/tests/module/policy_test.cpp
@@ -98,15 +98,15 @@
         host.endAttempt(now += 20, host.sent.back(), Outcome::Served, true, 20);
     }
     host.step(now, {request("r", "read", 0), request("o", "once", 0)});
-    const auto n = host.sent.size();
-    const auto of = [&](const char* id) {
+    const auto sentBefore = host.sent.size();
+    const auto lastAttemptOf = [&](const char* id) {
         return std::find_if(host.sent.rbegin(), host.sent.rend(), [&](auto& a) { return a.id == id; });
     };
-    EXPECT_LT(of("r")->expireAtMs, now + 400);
-    EXPECT_GE(of("r")->expireAtMs, now + 8 * 20);
-    EXPECT_GE(of("o")->expireAtMs, now + 2500);
-    host.endAttempt(now + 250, *of("r"), Outcome::NoAnswer, false, 250);
-    ASSERT_EQ(host.sent.size(), n + 1);
+    EXPECT_LT(lastAttemptOf("r")->expireAtMs, now + 400);
+    EXPECT_GE(lastAttemptOf("r")->expireAtMs, now + 8 * 20);
+    EXPECT_GE(lastAttemptOf("o")->expireAtMs, now + 2500);
+    host.endAttempt(now + 250, *lastAttemptOf("r"), Outcome::NoAnswer, false, 250);
+    ASSERT_EQ(host.sent.size(), sentBefore + 1);
     EXPECT_EQ(host.sent.back().id, "r");
     EXPECT_GE(host.sent.back().expireAtMs, now + 2500);
 }
@@ -516,15 +516,15 @@
     auto settings = testSettings();
     settings.subscribe = true;
     Host host(settings, 3), twin(settings, 4);
-    for (auto* h : {&host, &twin}) {
-        h->step(kStart, {list({node("a", 0)}, ListForm::Cached)});
-        ASSERT_EQ(h->subscribedAt.size(), 1u);
-        h->step(kStart + 500, {list({}, ListForm::Failed)});
-        h->runTo(kStart + 3000);
-        ASSERT_EQ(h->subscribedAt.size(), 2u);
-        h->step(kStart + 3000, {list({node("a", 0)})});
-        h->runTo(kStart + 30000);
-        EXPECT_EQ(h->subscribedAt.size(), 2u);
+    for (auto* each : {&host, &twin}) {
+        each->step(kStart, {list({node("a", 0)}, ListForm::Cached)});
+        ASSERT_EQ(each->subscribedAt.size(), 1u);
+        each->step(kStart + 500, {list({}, ListForm::Failed)});
+        each->runTo(kStart + 3000);
+        ASSERT_EQ(each->subscribedAt.size(), 2u);
+        each->step(kStart + 3000, {list({node("a", 0)})});
+        each->runTo(kStart + 30000);
+        EXPECT_EQ(each->subscribedAt.size(), 2u);
     }
     EXPECT_NE(host.subscribedAt[1], twin.subscribedAt[1]);  // jittered by the seed
 }
--- a/tests/module/support.hpp
+++ b/tests/module/support.hpp
@@ -12,33 +12,33 @@
 namespace spokewheel::testing {
 
 inline Settings testSettings() {
-    Settings s;
-    s.hosts = 1;
-    s.maxAttempts = 3;
-    s.maySendToPeers = true;
-    s.tickMs = 2;
-    s.coldUnits = 6;
-    s.coldMs = 16000;
-    s.coldShare = 0.2;
-    s.overloadFactor = 2;
-    s.overloadSpanMs = 1000;
-    s.answerGraceMs = 8;
-    s.drainGraceMs = 1000;
-    s.settleAfterDoubtMs = 100;
-    s.meanUnits = 2;
-    s.maxUnits = 6;
-    s.fairWorth = 0.35;
-    s.spareWorth = 0.05;
-    const auto add = [&s](const char* name, Effect effect, Group group, bool inOrder) {
-        RequestClass c;
-        c.name = name;
-        c.effect = effect;
-        c.group = group;
-        c.inOrder = inOrder;
-        c.latencyTargetMs = 500;
-        c.deadlineMs = 2500;
-        c.keyRetentionMs = 1500;
-        s.classes.push_back(c);
+    Settings settings;
+    settings.hosts = 1;
+    settings.maxAttempts = 3;
+    settings.maySendToPeers = true;
+    settings.tickMs = 2;
+    settings.coldUnits = 6;
+    settings.coldMs = 16000;
+    settings.coldShare = 0.2;
+    settings.overloadFactor = 2;
+    settings.overloadSpanMs = 1000;
+    settings.answerGraceMs = 8;
+    settings.drainGraceMs = 1000;
+    settings.settleAfterDoubtMs = 100;
+    settings.meanUnits = 2;
+    settings.maxUnits = 6;
+    settings.fairWorth = 0.35;
+    settings.spareWorth = 0.05;
+    const auto add = [&settings](const char* name, Effect effect, Group group, bool inOrder) {
+        RequestClass requestClass;
+        requestClass.name = name;
+        requestClass.effect = effect;
+        requestClass.group = group;
+        requestClass.inOrder = inOrder;
+        requestClass.latencyTargetMs = 500;
+        requestClass.deadlineMs = 2500;
+        requestClass.keyRetentionMs = 1500;
+        settings.classes.push_back(requestClass);
     };
     add("read", Effect::Repeatable, Group::All, false);
     add("once", Effect::Once, Group::All, false);
@@ -48,14 +48,14 @@
     open.name = "open";
     open.nominal = 10;
     open.reservation = 5;
-    s.plans.push_back(open);
+    settings.plans.push_back(open);
     Plan limited = open;
     limited.name = "limited";
     limited.limit = 20;
     limited.limitBurst = 36;
     limited.slack = 6;
-    s.plans.push_back(limited);
-    return s;
+    settings.plans.push_back(limited);
+    return settings;
 }
 
 inline NodeEntry node(const std::string& id, int shard, Lifecycle state = Lifecycle::Ready, double up = 0) {
@@ -90,17 +90,17 @@
     std::vector<Action> step(double now, const std::vector<Event>& events) {
         auto actions = scheduler_.step(now, events);
         for (const auto& action : actions) {
-            if (const auto* a = std::get_if<Attempt>(&action)) {
-                sent.push_back(*a);
+            if (const auto* attempt = std::get_if<Attempt>(&action)) {
+                sent.push_back(*attempt);
                 sentAt.push_back(now);
-                ++attemptCounts[a->id];
-            } else if (const auto* r = std::get_if<Refuse>(&action)) {
-                refused[r->id] = now;
-                retryAfterMs[r->id] = r->retryAfterMs;
-            } else if (const auto* f = std::get_if<Fail>(&action)) {
-                failed[f->id] = now;
-            } else if (const auto* t = std::get_if<SendToPeers>(&action)) {
-                outgoing.push_back(*t);
+                ++attemptCounts[attempt->id];
+            } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+                refused[refuse->id] = now;
+                retryAfterMs[refuse->id] = refuse->retryAfterMs;
+            } else if (const auto* fail = std::get_if<Fail>(&action)) {
+                failed[fail->id] = now;
+            } else if (const auto* message = std::get_if<SendToPeers>(&action)) {
+                outgoing.push_back(*message);
             } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
                 timers_.push_back(now + timer->afterMs);
             } else if (std::holds_alternative<Subscribe>(action)) {
@@ -119,13 +119,13 @@
             step(at, {Wake{}});
         }
     }
-    void endAttempt(double now, const Attempt& a, Outcome outcome, bool requestEnded = false,
+    void endAttempt(double now, const Attempt& attempt, Outcome outcome, bool requestEnded = false,
                     double tookMs = 20) {
         AttemptEnded result;
-        result.id = a.id;
-        result.node = a.node;
+        result.id = attempt.id;
+        result.node = attempt.node;
         result.outcome = outcome;
-        result.attempt = attemptCounts[a.id] - 1;
+        result.attempt = attemptCounts[attempt.id] - 1;
         result.tookMs = tookMs;
         result.requestEnded = requestEnded || outcome == Outcome::Served;
         step(now, {result});
--- a/tests/module/wire_test.cpp
+++ b/tests/module/wire_test.cpp
@@ -59,11 +59,11 @@
         {"ENLIST\t4\t5\tclasses.count=1\tdomain.class-writes=true,false\n", "line 5", "class-writes"},
         {"ENLIST\t4\t5\trules.extra-share=2\n", "line 5", "extraShare"},
     };
-    for (const auto& c : cases) {
-        const auto r = serve(std::string(kInit) + c.text + "FLUSH\n");
-        EXPECT_EQ(r.code, 1) << c.text;
-        EXPECT_NE(r.err.find(c.line), std::string::npos) << r.err;
-        EXPECT_NE(r.err.find(c.field), std::string::npos) << r.err;
+    for (const auto& testCase : cases) {
+        const auto result = serve(std::string(kInit) + testCase.text + "FLUSH\n");
+        EXPECT_EQ(result.code, 1) << testCase.text;
+        EXPECT_NE(result.err.find(testCase.line), std::string::npos) << result.err;
+        EXPECT_NE(result.err.find(testCase.field), std::string::npos) << result.err;
     }
 }
 
