--- a/src/fronts/decide_pace.hpp
+++ b/src/fronts/decide_pace.hpp
@@ -6,10 +6,9 @@
 // again, and an rsync client that is told of a refusal ends with files missing, where its user expects it to
 // slow down. So the units that a volume has open at one host are kept within a window:
 //  - For a volume with a limit the window starts at the host's even share of what the limit lets through
-//  within
-//    the shortest aim. It may grow to the whole of that, as all clients of the volume may use this host. It
-//    may not grow further: the scheduler serves those requests first that can still meet their aim, so the
-//    oldest would be overtaken until their deadlines pass.
+//    within the shortest latency target. It may grow to the whole of that, as all clients of the volume may
+//    use this host. It may not grow further: the scheduler serves those requests first that can still meet
+//    their latency target, so the oldest would be overtaken until their deadlines pass.
 //  - It grows by one largest request for each window served and is halved by a refusal. Refusals of requests
 //    that were open together halve it once.
 //  - Without a limit there is no window until the first refusal.
--- a/src/host/attempt_guard.hpp
+++ b/src/host/attempt_guard.hpp
@@ -57,7 +57,7 @@
     invariants::Monitor& monitor_;
     std::unordered_map<std::string, NodeState> nodes_;
     std::unordered_map<std::string, RequestRecord> requests_;
-    std::deque<double> submittedAt_, repeatedAt_;  // within Settings::extraSpanMs
+    std::deque<double> submittedAt_, repeatedAt_;  // within Settings::retryBudgetSpanMs
 };
 
 }  // namespace spokewheel::host
--- a/src/nodes/node_client.hpp
+++ b/src/nodes/node_client.hpp
@@ -109,7 +109,7 @@
     std::map<std::string, std::vector<LinkPtr>> links_;  // by node, idle and in use
 };
 
-// The outcome of a response by its status. "Not executed" (TurnedAway) are 503, and 400 with
+// The outcome of a response by its status. "Not executed" (Rejected) are 503, and 400 with
 // Want-Repr-Digest: the body did not match the digest in the request (RFC 9530, 4), so the node did nothing
 // and the same bytes may be sent again.
 Outcome outcomeOf(int status, bool wantsDigest);
