--- a/fuzz/platform_fuzz.cpp
+++ b/fuzz/platform_fuzz.cpp
@@ -31,7 +31,7 @@
     if (parser.next(text, body) != wire::http::Parser::Got::Head) return;
     if (kind == wire::http::Parser::Kind::Response) {
         const auto read = dialect.interpret(parser.head());
-        if (!(read.usage >= 0) || !(read.othersGot >= 0) || !std::isfinite(read.usage)) std::abort();
+        if (!(read.usage >= 0) || !(read.servedElsewhere >= 0) || !std::isfinite(read.usage)) std::abort();
         if (read.outcome == Outcome::Served && parser.head().status != 200) std::abort();
         return;
     }
--- a/src/host/host.cpp
+++ b/src/host/host.cpp
@@ -193,14 +193,14 @@
     ++counters_.outcomes[result.outcome];
     logEvent("outcome", id, node, std::to_string(static_cast<int>(result.outcome)));
     const bool served = result.outcome == Outcome::Served;
-    AttemptEnded verdict{id,
-                         node,
-                         result.outcome,
-                         attempt,
-                         result.tookMs,
-                         served || !request.done,
-                         result.usage,
-                         result.othersGot};
+    AttemptEnded ended{id,
+                       node,
+                       result.outcome,
+                       attempt,
+                       result.tookMs,
+                       served || !request.done,
+                       result.usage,
+                       result.servedElsewhere};
     if (served && request.done) {
         Answer answer;
         answer.kind = Answer::Kind::Served;
@@ -209,7 +209,7 @@
         answer.shard = shardOf(node);
         finish(id, std::move(answer));
     } else if (!request.done && request.openAttempts == 0) erase(id);
-    queueEvent(std::move(verdict));
+    queueEvent(std::move(ended));
 }
 
 // Gives the request its one answer. It is kept until its open attempts have ended, so that the scheduler gets
--- a/src/host/node_transport.hpp
+++ b/src/host/node_transport.hpp
@@ -33,7 +33,7 @@
     int status = 0;  // HTTP status; 0 without a response
     std::string body;
     double tookMs = 0;
-    double usage = 0, othersGot = 0;  // as reported by the node; see AttemptEnded
+    double usage = 0, servedElsewhere = 0;  // as reported by the node; see AttemptEnded
 };
 
 class NodeTransport {
--- a/src/nodes/node_client.cpp
+++ b/src/nodes/node_client.cpp
@@ -73,7 +73,7 @@
         AttemptResult out;
         out.outcome = outcomeOf(head.status, head.find("Want-Repr-Digest") != nullptr);
         out.usage = numberField(head, "Spokewheel-Usage");
-        out.othersGot = numberField(head, "Spokewheel-Others");
+        out.servedElsewhere = numberField(head, "Spokewheel-Others");
         return out;
     };
     d.probeTarget = "/load";
--- a/src/nodes/node_client.hpp
+++ b/src/nodes/node_client.hpp
@@ -25,7 +25,7 @@
     std::function<bool(const std::string& node, io::Address&)> resolve;
     // Adds the fields that are set for each attempt.
     std::function<void(const host::AttemptLabel&, double expireInMs, wire::http::Fields&)> addFields;
-    // Sets the result's outcome, `usage` and `othersGot` from the head of the response.
+    // Sets the result's outcome, `usage` and `servedElsewhere` from the head of the response.
     std::function<host::AttemptResult(const wire::http::Head&)> interpret;
     std::string probeTarget;
     // Whether only a request that was written completely can have run. If not, any of which a byte was
--- a/src/platform/dialect.cpp
+++ b/src/platform/dialect.cpp
@@ -47,7 +47,7 @@
         out.outcome = outcomeOf(head);
         // The scheduling module counts from 1, with 0 for "unknown".
         if (const auto used = numericField(head, "X-Volume-Use")) out.usage = *used + 1;
-        if (const auto others = numericField(head, "X-Served-Elsewhere")) out.othersGot = *others;
+        if (const auto others = numericField(head, "X-Served-Elsewhere")) out.servedElsewhere = *others;
         return out;
     };
     d.probeTarget = probesTellLoad ? "/status/load" : "/health";
