--- a/src/host/host.cpp
+++ b/src/host/host.cpp
@@ -276,7 +276,7 @@
     if (dependencies_.fetchList) dependencies_.fetchList();
 }
 void Host::perform(const LimitAccount& action) {
-    if (dependencies_.onLimitNote) dependencies_.onLimitNote(action);
+    if (dependencies_.onLimitAccount) dependencies_.onLimitAccount(action);
 }
 
 }  // namespace spokewheel::host
--- a/src/host/host.hpp
+++ b/src/host/host.hpp
@@ -65,7 +65,8 @@
         std::function<void(const char* event, const std::string& request, const std::string& node,
                            const std::string& words)>
             logEvent;
-        std::function<void(const LimitAccount&)> onLimitNote;  // only called if Settings::reportLimitAccounts
+        std::function<void(const LimitAccount&)>
+            onLimitAccount;  // only called if Settings::reportLimitAccounts
     };
     // Throws std::invalid_argument if the settings contradict each other. The scheduler holds at most
     // `maxInScheduler` requests at once; the others queue here in order of arrival while their time to live
@@ -93,7 +94,7 @@
     invariants::Monitor& monitor() { return monitor_; }
     // -1 if the node is not known.
     int shardOf(const std::string& node) const;
-    std::vector<LimitAccount> limitNotes() const { return scheduler_.limitAccounts(); }
+    std::vector<LimitAccount> limitAccounts() const { return scheduler_.limitAccounts(); }
     std::uint64_t unreadablePeerMessages() const { return scheduler_.unreadableMessages(); }
 
   private:
--- a/src/platform/platform_daemon.cpp
+++ b/src/platform/platform_daemon.cpp
@@ -60,7 +60,7 @@
             log_.event(Level::Info, event, {{"request", request}, {"node", node}, {"words", words}},
                        io::nowMs());
         };
-    dependencies.onLimitNote = [this](const LimitAccount& note) { logLimitAccount(log_, note); };
+    dependencies.onLimitAccount = [this](const LimitAccount& account) { logLimitAccount(log_, account); };
     host_ = createHost(file_, c, std::move(dependencies));
     startPeerLink();
     host_->monitor().reportTo(
@@ -212,7 +212,7 @@
     closeTimer_.cancel();
     server_->drain([this] {
         reportCounters();
-        for (const auto& note : host_->limitNotes()) logLimitAccount(log_, note);
+        for (const auto& account : host_->limitAccounts()) logLimitAccount(log_, account);
         log_.event(Level::Info, "stopped",
                    {{"open", std::to_string(host_->open())},
                     {"violations", std::to_string(host_->monitor().total())}},
