--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -121,7 +121,7 @@
     log_.event(
         Level::Info, "pulse",
         {{"sessions", std::to_string(rsync_->sessions())},
-         {"seated", std::to_string(rsync_->places().admitted())},
+         {"seated", std::to_string(rsync_->admission().admitted())},
          {"gave_way", std::to_string(rsync_->evictions())},
          {"open", std::to_string(host_->open())},
          {"taken", std::to_string(c.taken)},
--- a/src/fronts/rsync/server.cpp
+++ b/src/fronts/rsync/server.cpp
@@ -7,8 +7,8 @@
 
 Server::Server(Context& context, const io::Address& address)
     : context_(context),
-      places_({context.settings.handshakes, context.settings.connections,
-               context.settings.connectionsByAddress}) {
+      admission_({context.settings.handshakes, context.settings.connections,
+                  context.settings.connectionsByAddress}) {
     listener_ = std::make_unique<io::Listener>(
         address, [this](std::shared_ptr<io::Connection> c) { accept(std::move(c)); });
 }
@@ -17,27 +17,27 @@
 void Server::accept(std::shared_ptr<io::Connection> connection) {
     const auto id = ++nextId_;
     const auto address = connection->remoteHost();
-    if (const auto oldest = places_.addPending(id, address)) {
+    if (const auto oldest = admission_.addPending(id, address)) {
         ++evictions_;
         if (const auto found = sessions_.find(*oldest); found != sessions_.end()) {
             const auto session = found->second;
             session->evict();
-        } else places_.remove(*oldest);
+        } else admission_.remove(*oldest);
     }
     Admission admission;
-    admission.greeted = [this, id] { places_.onProgress(id); };
+    admission.greeted = [this, id] { admission_.onProgress(id); };
     admission.refusalReason = [this, id](const config::VolumeSettings& v) {
-        return places_.refusalReason(id, v.name, v.connections);
+        return admission_.refusalReason(id, v.name, v.connections);
     };
     admission.admit = [this, id](const config::VolumeSettings& v) {
-        return places_.admit(id, v.name, v.connections);
+        return admission_.admit(id, v.name, v.connections);
     };
     admission.authFailureDelayMs = [this, address] {
-        return places_.wrongPasswordDelayMs(address, context_.nowMs());
+        return admission_.wrongPasswordDelayMs(address, context_.nowMs());
     };
     auto session = std::make_shared<Session>(
         context_, std::move(connection), "c" + std::to_string(id), std::move(admission), [this, id] {
-            places_.remove(id);
+            admission_.remove(id);
             sessions_.erase(id);
             if (sessions_.empty())
                 if (const auto onEmpty = std::exchange(onEmpty_, nullptr)) onEmpty();
--- a/src/fronts/rsync/server.hpp
+++ b/src/fronts/rsync/server.hpp
@@ -24,13 +24,13 @@
     std::size_t sessions() const { return sessions_.size(); }
     // Clients disconnected because too many were in their handshake.
     std::uint64_t evictions() const { return evictions_; }
-    const ConnectionAdmission& places() const { return places_; }
+    const ConnectionAdmission& admission() const { return admission_; }
 
   private:
     void accept(std::shared_ptr<io::Connection> connection);
     Context& context_;
     std::map<std::uint64_t, std::shared_ptr<Session>> sessions_;
-    ConnectionAdmission places_;
+    ConnectionAdmission admission_;
     std::uint64_t nextId_ = 0, evictions_ = 0;
     std::unique_ptr<io::Listener> listener_;
     std::function<void()> onEmpty_;
