--- a/src/fronts/decide_pace.hpp
+++ b/src/fronts/decide_pace.hpp
@@ -61,7 +61,7 @@
     // that is assumed if the shard served nothing while this request was open; with a limit, if it has served
     // nothing for kDeadlinesWithoutService deadlines, since a volume at its limit may get nothing from one
     // node for a while.
-    bool onRefused(double units, int shard, double sentMs, double firstRefusedMs, double holdOffMs,
+    bool onRefused(double units, int shard, double sentMs, double firstRefusedMs, double retryAfterMs,
                    double nowMs) {
         const double before = open_;
         onEnded(units);
@@ -79,7 +79,7 @@
         }
         // Exponential backoff while nothing is served, so that a volume whose requests are refused at once is
         // not retried in a tight loop.
-        const double pause = std::max(holdOffMs, kMinPauseMs * static_cast<double>(1u << refusalsInRow_));
+        const double pause = std::max(retryAfterMs, kMinPauseMs * static_cast<double>(1u << refusalsInRow_));
         refusalsInRow_ = std::min(refusalsInRow_ + 1, 6u);
         resumeAtMs_ = std::max(resumeAtMs_, nowMs + std::min(pause, kMaxPauseMs));
         return true;
--- a/src/fronts/http/server.cpp
+++ b/src/fronts/http/server.cpp
@@ -256,9 +256,9 @@
             sendAnswer(s, 200, {}, a.body, last);
             break;
         case host::Answer::Kind::Refused:
-            if (a.holdOffMs > 0) {
+            if (a.retryAfterMs > 0) {
                 char seconds[32];
-                std::snprintf(seconds, sizeof seconds, "%.3f", a.holdOffMs / 1000);
+                std::snprintf(seconds, sizeof seconds, "%.3f", a.retryAfterMs / 1000);
                 fields.emplace_back("Retry-After", seconds);
             }
             sendAnswer(s, 503, std::move(fields), "", last);
--- a/src/fronts/request_pacer.cpp
+++ b/src/fronts/request_pacer.cpp
@@ -86,7 +86,7 @@
         };
         request.send = [this, send = std::move(send), done = std::move(done)](std::uint64_t id) {
             return send([this, id, done](Result r) {
-                if (!pacer_.settle(id, r.ok, r.refused, r.holdOffMs)) return;
+                if (!pacer_.settle(id, r.ok, r.refused, r.retryAfterMs)) return;
                 ids_.erase(id);
                 done(std::move(r));  // may destroy this store
             });
@@ -197,7 +197,7 @@
     }
 }
 
-bool RequestPacer::settle(std::uint64_t id, bool ok, bool refused, double holdOffMs) {
+bool RequestPacer::settle(std::uint64_t id, bool ok, bool refused, double retryAfterMs) {
     const auto found = requests_.find(id);
     if (found == requests_.end()) return false;
     auto& request = found->second;
@@ -210,7 +210,7 @@
         ++counters_.refused;
         if (request.firstRefusedMs < 0) request.firstRefusedMs = now;
         const bool retry = queue.window.onRefused(request.units, request.shard, request.sentMs,
-                                                  request.firstRefusedMs, holdOffMs, now);
+                                                  request.firstRefusedMs, retryAfterMs, now);
         finished = !retry || expired(request, now);
         if (finished) ++counters_.gaveUp;
         else queue.requests.add(request.session, id, true);
--- a/src/fronts/request_pacer.hpp
+++ b/src/fronts/request_pacer.hpp
@@ -70,7 +70,7 @@
     bool expired(const PacedRequest& request, double nowMs) const;
     void armTimer(VolumeQueue& queue, const std::string& volume, double ms);
     // Returns whether the request is finished and its caller must be given the result; if not, it is retried.
-    bool settle(std::uint64_t id, bool ok, bool refused, double holdOffMs);
+    bool settle(std::uint64_t id, bool ok, bool refused, double retryAfterMs);
     void abandon(std::uint64_t id);
     double unitsOf(host::Operation op, std::uint64_t fileBytes, std::uint64_t bytes) const;
 
--- a/src/fronts/store.cpp
+++ b/src/fronts/store.cpp
@@ -65,7 +65,7 @@
         [size, digest, done = std::move(done)](host::Answer a) {
             ReadResult r;
             r.refused = a.kind == host::Answer::Kind::Refused;
-            r.holdOffMs = a.holdOffMs;
+            r.retryAfterMs = a.retryAfterMs;
             if (a.kind != host::Answer::Kind::Served || a.status != 200) r.error = errorText(a);
             else if (!digest.empty() && (a.body.size() != size || catalogue::xxh128Hex(a.body) != digest))
                 r.error = "what the storage node returned does not match its checksum";
@@ -94,7 +94,7 @@
                   [done = std::move(done)](host::Answer a) {
                       WriteResult r;
                       r.refused = a.kind == host::Answer::Kind::Refused;
-                      r.holdOffMs = a.holdOffMs;
+                      r.retryAfterMs = a.retryAfterMs;
                       const bool stored = a.status == 200 || a.status == 201 || a.status == 204;
                       r.ok = a.kind == host::Answer::Kind::Served && (stored || a.status == 412);
                       r.shard = a.shard;
--- a/src/fronts/store.hpp
+++ b/src/fronts/store.hpp
@@ -18,13 +18,13 @@
 struct ReadResult {
     bool ok = false, refused = false;  // refused: nothing was done, a retry is harmless
     std::string body, error;           // error: text for the client
-    double holdOffMs = 0;              // refused: when to retry; 0: the scheduler gave no time
+    double retryAfterMs = 0;           // refused: when to retry; 0: the scheduler gave no time
 };
 struct WriteResult {
     bool ok = false, refused = false;
     int shard = -1;
     std::string error;
-    double holdOffMs = 0;
+    double retryAfterMs = 0;
 };
 
 class Store {
--- a/src/host/host.hpp
+++ b/src/host/host.hpp
@@ -41,7 +41,7 @@
     int status = 0;
     std::string body;
     int shard = -1;
-    double holdOffMs = 0;  // refused: how long the client should wait before it retries
+    double retryAfterMs = 0;  // refused: how long the client should wait before it retries
 };
 
 // Statistics for the log; no decision depends on them.
@@ -65,8 +65,8 @@
         std::function<void(const char* event, const std::string& request, const std::string& node,
                            const std::string& words)>
             logEvent;
-        std::function<void(const LimitAccount&)>
-            onLimitAccount;  // only called if Settings::reportLimitAccounts
+        // Only called if Settings::reportLimitAccounts.
+        std::function<void(const LimitAccount&)> onLimitAccount;
     };
     // Throws std::invalid_argument if the settings contradict each other. The scheduler holds at most
     // `maxInScheduler` requests at once; the others queue here in order of arrival while their time to live
