--- a/src/fronts/decide_pace.hpp
+++ b/src/fronts/decide_pace.hpp
@@ -28,15 +28,15 @@
 class VolumeWindow {
   public:
     struct Parameters {
-        double limit = 0;                       // units per second over all hosts; 0: none
-        int hosts = 1;                          // number of hosts that serve the volume
-        double topUnits = 1;                    // of the largest request
-        double aimMs = 500, deadlineMs = 1000;  // the shortest of the classes in use
+        double limit = 0;                                 // units per second over all hosts; 0: none
+        int hosts = 1;                                    // number of hosts that serve the volume
+        double maxUnits = 1;                              // of the largest request
+        double latencyTargetMs = 500, deadlineMs = 1000;  // the shortest of the classes in use
     };
     explicit VolumeWindow(const Parameters& parameters) : parameters_(parameters), window_(kUnlimited) {
         if (parameters.limit <= 0) return;
-        const double fits = parameters.limit * parameters.aimMs / 1000;
-        window_ = std::max(kMinRequests * parameters.topUnits, fits / std::max(1, parameters.hosts));
+        const double fits = parameters.limit * parameters.latencyTargetMs / 1000;
+        window_ = std::max(kMinRequests * parameters.maxUnits, fits / std::max(1, parameters.hosts));
         maxWindow_ = std::max(window_, fits);
     }
     // Whether a request may be sent now. Where only the pause after a refusal forbids it, one may be sent
@@ -52,7 +52,7 @@
         refusalsInRow_ = 0;
         lastServedByShard_[shard] = lastServedMs_ = nowMs;
         if (window_ < kUnlimited)
-            window_ = std::min(maxWindow_, window_ + parameters_.topUnits * units / window_);
+            window_ = std::min(maxWindow_, window_ + parameters_.maxUnits * units / window_);
         // Without a limit the window ends once the last refusal is long ago.
         if (parameters_.limit <= 0 && nowMs - halvedAtMs_ > kForgetRefusalMs) window_ = kUnlimited;
     }
@@ -74,7 +74,7 @@
                                          kDeadlinesWithoutService * parameters_.deadlineMs)
             return false;
         if (nowMs - halvedAtMs_ > parameters_.deadlineMs / 2) {
-            window_ = std::max(parameters_.topUnits, std::min(window_, before) / 2);
+            window_ = std::max(parameters_.maxUnits, std::min(window_, before) / 2);
             halvedAtMs_ = nowMs;
         }
         // Exponential backoff while nothing is served, so that a volume whose requests are refused at once is
--- a/src/fronts/request_pacer.cpp
+++ b/src/fronts/request_pacer.cpp
@@ -126,14 +126,14 @@
     if (found != queues_.end()) return found->second;
     VolumeWindow::Parameters parameters;
     parameters.hosts = volume.hosts;
-    parameters.topUnits = settings_.module.maxUnits;
+    parameters.maxUnits = settings_.module.maxUnits;
     for (const auto& p : settings_.module.plans)
         if (p.name == volume.plan) parameters.limit = p.limit;
-    parameters.aimMs = parameters.deadlineMs = 3.6e6;
+    parameters.latencyTargetMs = parameters.deadlineMs = 3.6e6;
     for (const auto& c : settings_.module.classes)
         if (c.name == settings_.readClass || c.name == settings_.largeReadClass ||
             c.name == settings_.writeClass)
-            parameters.aimMs = std::min(parameters.aimMs, c.latencyTargetMs),
+            parameters.latencyTargetMs = std::min(parameters.latencyTargetMs, c.latencyTargetMs),
             parameters.deadlineMs = std::min(parameters.deadlineMs, c.deadlineMs);
     return queues_.emplace(volume.name, parameters).first->second;
 }
--- a/src/fronts/store.cpp
+++ b/src/fronts/store.cpp
@@ -28,7 +28,7 @@
     rules.writeClass = settings.writeClass;
     rules.largeFromBytes = settings.largeFromBytes;
     rules.unitBytes = settings.unitBytes;
-    rules.topUnits = settings.module.maxUnits;
+    rules.maxUnits = settings.module.maxUnits;
     return rules;
 }
 
--- a/src/host/decide_request.hpp
+++ b/src/host/decide_request.hpp
@@ -16,7 +16,7 @@
     std::string readClass, largeReadClass, writeClass;
     std::uint64_t largeFromBytes = 0;  // reads of files of at least this size are large; 0: none
     std::uint64_t unitBytes = 65536;
-    double topUnits = 1;
+    double maxUnits = 1;
 };
 struct ClassAndUnits {
     std::string requestClass;
@@ -33,7 +33,7 @@
                        : large                ? rules.largeReadClass
                                               : rules.readClass;
     const auto units = std::ceil(static_cast<double>(bytes) / static_cast<double>(rules.unitBytes));
-    out.units = std::clamp(units, 1.0, std::max(1.0, rules.topUnits));
+    out.units = std::clamp(units, 1.0, std::max(1.0, rules.maxUnits));
     return out;
 }
 
--- a/tests/gateway/parts_test.cpp
+++ b/tests/gateway/parts_test.cpp
@@ -193,7 +193,7 @@
 TEST(RequestShape, ClassBySizeOfFileUnitsByWhatMoves) {
     host::ClassificationRules r;
     r.readClass = "view", r.largeReadClass = "export", r.writeClass = "upload";
-    r.largeFromBytes = 1000, r.unitBytes = 100, r.topUnits = 8;
+    r.largeFromBytes = 1000, r.unitBytes = 100, r.maxUnits = 8;
     using host::Operation;
     EXPECT_EQ(host::classifyOperation(r, Operation::Read, 999, 999).requestClass, "view");
     EXPECT_EQ(host::classifyOperation(r, Operation::Read, 1000, 10).requestClass, "export");
