--- a/src/host/host.cpp
+++ b/src/host/host.cpp
@@ -109,7 +109,7 @@
     }
 }
 
-void Host::answerBy(double atMs) {
+void Host::setShutdownDeadline(double atMs) {
     latestDeadline_ = atMs;
     guard_.onDeadline(atMs);
     for (auto& [id, request] : requests_) request.deadline = std::min(request.deadline, atMs);
--- a/src/host/host.hpp
+++ b/src/host/host.hpp
@@ -83,7 +83,7 @@
     // The client has gone and its answer is no longer wanted.
     void abandon(const std::string& id);
     // Moves the deadlines of all open and future requests to `atMs` (on io::nowMs()) where they are later.
-    void answerBy(double atMs);
+    void setShutdownDeadline(double atMs);
     void onList(ListUpdate update);
     void onPeerMessage(int from, std::string bytes);
 
@@ -137,7 +137,7 @@
     AttemptGuard guard_{settings_, monitor_};
     Scheduler scheduler_;
     std::size_t maxInScheduler_, inScheduler_ = 0;
-    double latestDeadline_ = 1e18;  // set by answerBy()
+    double latestDeadline_ = 1e18;  // set by setShutdownDeadline()
     std::string idPrefix_;
     std::uint64_t nextId_ = 0;
     std::unordered_map<std::string, Request> requests_;
--- a/src/platform/platform_daemon.cpp
+++ b/src/platform/platform_daemon.cpp
@@ -203,7 +203,7 @@
     log_.event(Level::Info, "stopping", {{"open", std::to_string(host_->open())}}, io::nowMs());
     const auto plan = shutdownPlan(configuration_.schedulerSettings.classes);
     server_->markNotReady();
-    host_->answerBy(io::nowMs() + plan.answerByMs);
+    host_->setShutdownDeadline(io::nowMs() + plan.answerByMs);
     closeTimer_.arm(plan.closeFromMs, [this] { drain(); });
     listenTimer_.arm(plan.listenUntilMs, [this] { server_->stopListening(); });
 }
