--- a/src/platform/startup_node_list.cpp
+++ b/src/platform/startup_node_list.cpp
@@ -21,7 +21,7 @@
 
 void StartupNodeList::onAgentAnswered() {
     agentAnswered_ = true;
-    listServiceHeardAt_ = io::nowMs();
+    lastListContactAt_ = io::nowMs();
     askTimer_.cancel();
     confirmTimer_.cancel();
 }
@@ -44,7 +44,7 @@
 
 // A process that knows only its own configuration does not answer.
 void StartupNodeList::answerQuery(int to, const peer::MembershipQuery& query) {
-    if (!listServiceHeardAt_ || !callbacks_.sendToPeer) return;
+    if (!lastListContactAt_ || !callbacks_.sendToPeer) return;
     const double now = io::nowMs();
     std::vector<peer::Member> members;
     for (const auto& [node, startedAt] : nodeTable_.usableNodes())
@@ -52,7 +52,7 @@
     peer::MembershipPart head;
     head.nonce = query.nonce;
     head.listVersion = static_cast<std::uint32_t>(nodeTable_.version());
-    head.wordAgeMs = now - *listServiceHeardAt_;
+    head.wordAgeMs = now - *lastListContactAt_;
     for (const auto& bytes : peer::packMembership(head, members)) callbacks_.sendToPeer(to, bytes);
 }
 
@@ -73,7 +73,7 @@
     askTimer_.cancel();
     if (agentAnswered_ || (std::exchange(applied_, true) && nodes.startedAt == appliedStarts_)) return;
     appliedStarts_ = nodes.startedAt;
-    listServiceHeardAt_ = nodes.lastContactAt;
+    lastListContactAt_ = nodes.lastContactAt;
     registry::Endpoints list;
     list.revision = known_.revision;
     list.complete = true;
--- a/src/platform/startup_node_list.hpp
+++ b/src/platform/startup_node_list.hpp
@@ -49,8 +49,8 @@
     registry::Confirmation confirmation_;
     std::uint32_t nonce_;
     bool agentAnswered_ = false;
-    // When the list service was last heard, by this process or by the peers whose answers it uses.
-    std::optional<double> listServiceHeardAt_;
+    // When the list service last answered this process or, if its list comes from peers, those peers.
+    std::optional<double> lastListContactAt_;
     std::map<std::uint64_t, double> appliedStarts_;
     bool applied_ = false;
     io::Timer askTimer_, confirmTimer_;
