--- a/src/fronts/rsync/channel.cpp
+++ b/src/fronts/rsync/channel.cpp
@@ -19,7 +19,7 @@
     }
     if (!readingPaused_ && input_.size() - consumed_ + undecoded_.size() > kMaxUnreadBytes) {
         readingPaused_ = true;
-        pipe_->pauseReading();
+        stream_->pauseReading();
     }
     return true;
 }
@@ -58,7 +58,7 @@
     if (allConsumed && frameByFrame_) demuxFrames();
     if (readingPaused_ && input_.size() - consumed_ + undecoded_.size() < kMaxUnreadBytes / 2) {
         readingPaused_ = false;
-        pipe_->resumeReading();
+        stream_->resumeReading();
     }
 }
 
@@ -73,13 +73,13 @@
     } else if (!demux_.feed(rest, input_, messages_)) error_ = demux_.error();
 }
 
-void Channel::writeRaw(std::string_view bytes) { pipe_->write(std::string(bytes)); }
+void Channel::writeRaw(std::string_view bytes) { stream_->write(std::string(bytes)); }
 
 void Channel::sendMessage(Message kind, std::string_view payload) {
     flush();
     std::string frame;
     wire::rsync::putFrame(frame, kind, payload);
-    pipe_->write(std::move(frame));
+    stream_->write(std::move(frame));
 }
 
 // Each literal token gets a frame of its own. Clients accept literals of any length.
@@ -92,7 +92,7 @@
         wire::rsync::putFrameHead(frame, Message::Data, n + 4);
         wire::rsync::putU32(frame, static_cast<std::uint32_t>(n));
         frame += bytes.substr(0, n);
-        pipe_->write(std::move(frame));
+        stream_->write(std::move(frame));
         bytes.remove_prefix(n);
     }
 }
@@ -100,7 +100,7 @@
 void Channel::flush() {
     if (output_.empty()) return;
     if (!multiplexedOut_) {
-        pipe_->write(std::exchange(output_, {}));
+        stream_->write(std::exchange(output_, {}));
         return;
     }
     std::string frames;
@@ -111,7 +111,7 @@
         rest.remove_prefix(n);
     }
     output_.clear();
-    pipe_->write(std::move(frames));
+    stream_->write(std::move(frames));
 }
 
 }  // namespace spokewheel::fronts::rsync
--- a/src/fronts/rsync/channel.hpp
+++ b/src/fronts/rsync/channel.hpp
@@ -16,7 +16,7 @@
 
 class Channel {
   public:
-    explicit Channel(std::shared_ptr<io::ByteStream> pipe) : pipe_(std::move(pipe)) {}
+    explicit Channel(std::shared_ptr<io::ByteStream> stream) : stream_(std::move(stream)) {}
 
     // ---- input ----
     // Returns false if the stream is malformed; error() holds the reason. Pauses reading from the connection
@@ -46,12 +46,12 @@
     void sendMessage(wire::rsync::Message kind, std::string_view payload);
     void flush();
     // Whether the caller should stop producing output.
-    bool blocked() const { return pipe_->backlogged() || output_.size() >= kMaxPendingBytes; }
+    bool blocked() const { return stream_->backlogged() || output_.size() >= kMaxPendingBytes; }
 
   private:
     static constexpr std::size_t kMaxUnreadBytes = 512 * 1024, kMaxPendingBytes = 128 * 1024,
                                  kFrameBytes = 32 * 1024, kLiteralBytes = 128 * 1024;
-    std::shared_ptr<io::ByteStream> pipe_;
+    std::shared_ptr<io::ByteStream> stream_;
     wire::rsync::Demux demux_;
     std::vector<wire::rsync::Demux::Beside> messages_;
     bool demuxFrames();
--- a/tests/gateway/session_model_test.cpp
+++ b/tests/gateway/session_model_test.cpp
@@ -17,7 +17,7 @@
 using namespace wire::rsync;
 using Random = std::mt19937;
 
-struct ModelPipe : io::ByteStream {
+struct ModelStream : io::ByteStream {
     std::string queue;
     std::size_t highWaterMark = 3000;
     void write(std::string bytes) override { queue += bytes; }
@@ -117,7 +117,7 @@
         memory = host::MemoryBudget(settings.memoryBytes);
         volume.name = "maps";
         settings.volumes = {volume};
-        pipe->highWaterMark = 500 + random() % 20000;
+        stream->highWaterMark = 500 + random() % 20000;
         const auto callAfter = [this](double ms, std::function<void()> then) {
             auto held = std::make_shared<std::function<void()>>([this, ms, then] {
                 clock += ms;
@@ -150,18 +150,18 @@
     // Runs one event, selected at random; returns false if none is possible.
     bool runOneEvent() {
         std::vector<std::function<void()>> events;
-        if (!toServer.empty() && !pipe->paused)
+        if (!toServer.empty() && !stream->paused)
             events.push_back([this] {
                 const auto n = std::min<std::size_t>(toServer.size(), 1 + random() % 3000);
                 const auto part = toServer.substr(0, n);
                 toServer.erase(0, n);
                 EXPECT_TRUE(channel.receive(part)) << channel.error();
             });
-        if (!pipe->queue.empty())
+        if (!stream->queue.empty())
             events.push_back([this] {
-                const auto n = std::min<std::size_t>(pipe->queue.size(), 1 + random() % 5000);
-                EXPECT_TRUE(demux.feed(pipe->queue.substr(0, n), received, messages)) << demux.error();
-                pipe->queue.erase(0, n);
+                const auto n = std::min<std::size_t>(stream->queue.size(), 1 + random() % 5000);
+                EXPECT_TRUE(demux.feed(stream->queue.substr(0, n), received, messages)) << demux.error();
+                stream->queue.erase(0, n);
                 onOutput();
             });
         if (!store.pending.empty())
@@ -203,7 +203,7 @@
             on = advance();
         }
         EXPECT_EQ(side->error(), "");
-        while (!pipe->queue.empty()) runOneEvent();
+        while (!stream->queue.empty()) runOneEvent();
     }
 
     Random random;
@@ -211,8 +211,8 @@
     config::VolumeSettings volume;
     host::MemoryBudget memory;
     ModelStore store;
-    std::shared_ptr<ModelPipe> pipe = std::make_shared<ModelPipe>();
-    Channel channel{pipe};
+    std::shared_ptr<ModelStream> stream = std::make_shared<ModelStream>();
+    Channel channel{stream};
     std::vector<std::weak_ptr<std::function<void()>>> timers;
     std::unique_ptr<Context> context;
     TransferParameters parameters;
@@ -525,7 +525,7 @@
             ASSERT_TRUE(p.side->advance());
         } while (p.woken);
         EXPECT_GT(turns, kSymlinks / 100);
-        EXPECT_LT(p.pipe->queue.size(), p.pipe->highWaterMark + 20000);
+        EXPECT_LT(p.stream->queue.size(), p.stream->highWaterMark + 20000);
         p.runToEnd();
         EXPECT_GT(p.reportedErrors, 0u);
         EXPECT_GT(p.countedErrors, 0u);
