--- a/tests/gateway/platform_attempt_test.cpp
+++ b/tests/gateway/platform_attempt_test.cpp
@@ -16,7 +16,7 @@
         // first.
         const std::string shortDial = "\"dial-timeout-ms\":250.0";
         settings.replace(settings.find(shortDial), shortDial.size(), "\"dial-timeout-ms\":2400.0");
-        known = listJson(41, true, memberJson("s-1", door.address(), 0));
+        known = listJson(41, true, memberJson("s-1", listener.address(), 0));
         startUntilReady();
     }
     void ask(Client& c, const std::string& id, const std::string& kind = "read") {
@@ -34,11 +34,11 @@
     }
     bool opened(const std::string& id) {
         return runLoopUntil([&] {
-            door.acceptConnections();
-            return door.received(id);
+            listener.acceptConnections();
+            return listener.received(id);
         });
     }
-    StalledListener door;
+    StalledListener listener;
 };
 
 // Guards against sending an attempt whose client left before its connection was made.
@@ -50,9 +50,9 @@
     runLoopFor(20);
     ASSERT_TRUE(opened("stays"));
     runLoopFor(50);
-    door.acceptConnections();
-    EXPECT_FALSE(door.received("gone"));
-    door.answerAll(okResponse("x"));
+    listener.acceptConnections();
+    EXPECT_FALSE(listener.received("gone"));
+    listener.answerAll(okResponse("x"));
     ASSERT_TRUE(runLoopUntil([&] { return stays->answered(); }));
     EXPECT_EQ(stays->status(), 200);
 }
@@ -65,15 +65,15 @@
     disk->onRequest = [](AcceptedConnection& t) { t.send(okResponse("moved")); };
     discovery->last().send(lineChunk(listJson(
         43, false,
-        memberJson("s-1", door.address(), 0, "draining") + "," + memberJson("s-2", disk->address(), 0))));
+        memberJson("s-1", listener.address(), 0, "draining") + "," + memberJson("s-2", disk->address(), 0))));
     // The first connection may fail or be given up by the check: the other node serves in both cases.
     ASSERT_TRUE(runLoopUntil([&] {
-        door.acceptConnections();
+        listener.acceptConnections();
         return c->answered();
     }));
     EXPECT_EQ(c->status(), 200);
     EXPECT_NE(c->got.find("moved"), std::string::npos);
-    EXPECT_FALSE(door.received("a"));
+    EXPECT_FALSE(listener.received("a"));
 }
 
 // The same for a node that is listed under another address by then, or has restarted: an attempt that was
@@ -84,11 +84,11 @@
     disk->onRequest = [](AcceptedConnection& t) { t.send(okResponse("there")); };
     discovery->last().send(lineChunk(listJson(43, false, memberJson("s-1", disk->address(), 0))));
     ASSERT_TRUE(runLoopUntil([&] {
-        door.acceptConnections();
+        listener.acceptConnections();
         return c->answered();
     }));
     EXPECT_EQ(c->status(), 200);
-    EXPECT_FALSE(door.received("a"));
+    EXPECT_FALSE(listener.received("a"));
 }
 
 // A request that was written completely may be running: it keeps its connection when its client leaves, and
