--- a/fuzz/platform_fuzz.cpp
+++ b/fuzz/platform_fuzz.cpp
@@ -76,7 +76,7 @@
     std::string words;
     if (registry::parseEndpoints(text, list, words)) {
         for (const auto& e : list.entries)
-            if (e.node.empty() || e.shard < -1 || !(e.cameUpMs >= 0)) std::abort();
+            if (e.node.empty() || e.shard < -1 || !(e.startedMs >= 0)) std::abort();
     } else if (words.empty()) std::abort();
     try {
         platform::parseConfiguration(text, "file", {});
--- a/include/spokewheel/scheduler.hpp
+++ b/include/spokewheel/scheduler.hpp
@@ -86,7 +86,7 @@
     std::string node, zone;
     Lifecycle lifecycle = Lifecycle::Ready;
     int shard = -1;
-    double sizeHint = 1, cameUpMs = 0;
+    double sizeHint = 1, startedMs = 0;
 };
 struct ListUpdate {
     ListForm form = ListForm::Full;
--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -152,7 +152,7 @@
         default:
             line.fail("lifecycle", "0, 1 or 2");
     }
-    entry.cameUpMs = line.numberOr(5, "came-up-ms", 0);
+    entry.startedMs = line.numberOr(5, "came-up-ms", 0);
     entry.node = line.text(6, "server");
     entry.zone = line.raw(7);
     return entry;
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -311,7 +311,7 @@
         entry.lifecycle = section.choice(
             "state", Lifecycle::Ready,
             {{"ready", Lifecycle::Ready}, {"draining", Lifecycle::Draining}, {"gone", Lifecycle::Gone}});
-        entry.cameUpMs = section.number("started-ms", 0, 0, 1e15);
+        entry.startedMs = section.number("started-ms", 0, 0, 1e15);
         list.entries.push_back(entry);
     });
     top.rejectUnknownKeys();
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -148,7 +148,7 @@
     // A change of the file is noticed immediately, so a start that it newly reports has just happened.
     const double now = io::nowMs();
     starts_.onList({now, io::wallMs()}, update.form != ListForm::Cached, listFile_ ? now : -1e18);
-    for (auto& entry : update.entries) entry.cameUpMs = starts_.localStart(entry.node, entry.cameUpMs);
+    for (auto& entry : update.entries) entry.startedMs = starts_.localStart(entry.node, entry.startedMs);
     const char* forms[] = {"changes", "whole", "cached", "failed"};
     log_.event(
         Level::Info, "node_list",
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -134,8 +134,8 @@
             node.id = entry.node;
             node.zone = entry.zone;
             node.lifecycle = entry.lifecycle;
-            if (entry.cameUpMs > node.coldSince) {  // a restart explains the lost connections
-                node.coldSince = entry.cameUpMs;
+            if (entry.startedMs > node.coldSince) {  // a restart explains the lost connections
+                node.coldSince = entry.startedMs;
                 node.suspect = false, node.droppedConnections = 0;
             }
             nodesByShard_[node.shard].insert(node.id);
--- a/src/registry/endpoints.cpp
+++ b/src/registry/endpoints.cpp
@@ -41,7 +41,7 @@
     if (const auto cell = member.find("cell"); cell != member.end())
         entry.shard = static_cast<int>(integerOf(*cell, "cell", -1, 1 << 30));
     entry.sizeHint = numberAt(member, "size", 1);
-    entry.cameUpMs = numberAt(member, "up_since_ms", 0);
+    entry.startedMs = numberAt(member, "up_since_ms", 0);
     if (entry.lifecycle != Lifecycle::Gone)
         parsed.addresses[entry.node] = member.at("host_port").get<std::string>();
 }
--- a/src/registry/node_list_poller.cpp
+++ b/src/registry/node_list_poller.cpp
@@ -13,7 +13,7 @@
 
 bool sameEntry(const NodeEntry& a, const NodeEntry& b) {
     return a.node == b.node && a.zone == b.zone && a.lifecycle == b.lifecycle && a.shard == b.shard &&
-           a.cameUpMs == b.cameUpMs;
+           a.startedMs == b.startedMs;
 }
 
 }  // namespace
--- a/src/registry/node_table.cpp
+++ b/src/registry/node_table.cpp
@@ -36,10 +36,10 @@
     for (auto& entry : list.entries) {
         listed.insert(entry.node);
         auto& known = nodes_[entry.node];
-        const bool older = list.revision < known.revision && entry.cameUpMs <= known.reportedStartMs;
-        const double reportedStartMs = older ? known.reportedStartMs : entry.cameUpMs;
+        const bool older = list.revision < known.revision && entry.startedMs <= known.reportedStartMs;
+        const double reportedStartMs = older ? known.reportedStartMs : entry.startedMs;
         const bool newStart = starts_.isNewStart(entry.node, reportedStartMs);
-        entry.cameUpMs = starts_.localStart(entry.node, reportedStartMs);
+        entry.startedMs = starts_.localStart(entry.node, reportedStartMs);
         if (older && known.lifecycle != Lifecycle::Ready && entry.lifecycle != Lifecycle::Gone)
             entry.lifecycle = known.lifecycle;
         present_ += (entry.lifecycle != Lifecycle::Gone) - (known.lifecycle != Lifecycle::Gone);
--- a/tests/module/support.hpp
+++ b/tests/module/support.hpp
@@ -63,7 +63,7 @@
     entry.node = id;
     entry.shard = shard;
     entry.lifecycle = state;
-    entry.cameUpMs = up;
+    entry.startedMs = up;
     return entry;
 }
 
