--- a/bench/module_step.cpp
+++ b/bench/module_step.cpp
@@ -62,7 +62,7 @@
         AttemptEnded ended;
         ended.id = open.front().id;
         ended.node = open.front().node;
-        ended.tookMs = 20;
+        ended.durationMs = 20;
         ended.requestEnded = true;
         open.erase(open.begin());
         run({ended});
--- a/include/spokewheel/scheduler.hpp
+++ b/include/spokewheel/scheduler.hpp
@@ -109,7 +109,7 @@
     std::string id, node;
     Outcome outcome = Outcome::Served;
     int attempt = 0;  // the number of the request's attempt, from 0
-    double tookMs = 0;
+    double durationMs = 0;
     bool requestEnded = false;  // the request has its answer and needs no further attempt
     // As the node reported. `usage`: the volume's rate in per cent of Plan::nominal, plus 1; 0 if not
     // reported. `servedElsewhere`: what it served through other hosts; not used by the scheduler.
@@ -125,7 +125,7 @@
 struct ProbeResult {
     std::string node;
     Outcome outcome = Outcome::Served;
-    double tookMs = 0;
+    double durationMs = 0;
 };
 // A timer of a SetTimer action fired.
 struct Wake {};
--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -176,7 +176,7 @@
     AttemptEnded result;
     result.id = line.text(2, "xid");
     result.outcome = line.outcome(3, "verdict");
-    result.tookMs = line.numberOr(4, "cost-time-ms", 0);
+    result.durationMs = line.numberOr(4, "cost-time-ms", 0);
     result.attempt = static_cast<int>(line.integer(5, "shot"));
     result.requestEnded = line.flag(6, "terminal");
     result.servedElsewhere = line.numberOr(7, "others-got", 0);
--- a/src/host/host.cpp
+++ b/src/host/host.cpp
@@ -197,7 +197,7 @@
                        node,
                        result.outcome,
                        attempt,
-                       result.tookMs,
+                       result.durationMs,
                        served || !request.done,
                        result.usage,
                        result.servedElsewhere};
@@ -252,7 +252,7 @@
 }
 void Host::perform(const Probe& action) {
     dependencies_.nodes->probe(action.node, [this, alive = alive_, node = action.node](AttemptResult result) {
-        if (*alive) queueEvent(ProbeResult{node, result.outcome, result.tookMs});
+        if (*alive) queueEvent(ProbeResult{node, result.outcome, result.durationMs});
     });
 }
 void Host::perform(const SendToPeers& action) {
--- a/src/host/node_transport.hpp
+++ b/src/host/node_transport.hpp
@@ -32,7 +32,7 @@
     Outcome outcome = Outcome::NoAnswer;
     int status = 0;  // HTTP status; 0 without a response
     std::string body;
-    double tookMs = 0;
+    double durationMs = 0;
     double usage = 0, servedElsewhere = 0;  // as reported by the node; see AttemptEnded
 };
 
--- a/src/nodes/node_client.cpp
+++ b/src/nodes/node_client.cpp
@@ -343,7 +343,7 @@
     }
     buffered_ -= pending->result.body.size();
     pending->result.outcome = outcome;
-    pending->result.tookMs = io::nowMs() - pending->startedAt;
+    pending->result.durationMs = io::nowMs() - pending->startedAt;
     if (outcome != Outcome::Served) pending->result.body.clear();
     pending->done(std::move(pending->result));
 }
--- a/src/policy/node_window.cpp
+++ b/src/policy/node_window.cpp
@@ -15,7 +15,7 @@
 }  // namespace
 
 void NodeWindow::onServed(const Response& response, int inflight, double nowMs) {
-    const double msPerUnit = response.tookMs / std::max(1.0, response.units);
+    const double msPerUnit = response.durationMs / std::max(1.0, response.units);
     // Compares running means, not single responses: one short response does not show spare capacity.
     ++responses_;
     const double smoothing = std::max(kMinSmoothing, 1.0 / responses_);
@@ -24,7 +24,7 @@
         responses_ <= kBestFromResponses ? msPerUnit_ : std::min(bestMsPerUnit_ * kBestDrift, msPerUnit_);
     // If a node was busy from the start, its best latency is no reference; the latency targets are: the more
     // of its target a request spends in the node, the less time is left to choose among the waiting ones.
-    targetUse_ += smoothing * (response.tookMs / response.latencyTargetMs - targetUse_);
+    targetUse_ += smoothing * (response.durationMs / response.latencyTargetMs - targetUse_);
     const double overload =
         std::max(msPerUnit_ / bestMsPerUnit_ / kNarrowAtMultiple, targetUse_ / kNarrowAtTargetUse);
     if (overload < kWidenBelow && inflight + 1 >= size_ - 1) size_ += 1 / size_;
--- a/src/policy/node_window.hpp
+++ b/src/policy/node_window.hpp
@@ -11,7 +11,7 @@
     static constexpr double kMax = 24, kMin = 1;
 
     struct Response {
-        double tookMs = 0, units = 0, latencyTargetMs = 0, sentAtMs = 0;
+        double durationMs = 0, units = 0, latencyTargetMs = 0, sentAtMs = 0;
     };
     // `inflight`: the requests in flight at the node beside this one.
     void onServed(const Response& response, int inflight, double nowMs);
--- a/src/policy/peer_messages.cpp
+++ b/src/policy/peer_messages.cpp
@@ -89,7 +89,7 @@
         out.number(static_cast<double>(message.key))
             .number(message.coldAgeMs < 0 ? 0 : 1 + message.coldAgeMs / kAgeStepMs);
     } else if (message.kind == PermitKind::Done) {
-        out.number(message.outcome).number(std::round(message.tookMs));
+        out.number(message.outcome).number(std::round(message.durationMs));
     } else if (message.kind == PermitKind::Load) {
         out.number(message.shard).number(message.load);
     }
@@ -260,7 +260,7 @@
             message.coldAgeMs = age > 0 ? (age - 1) * kAgeStepMs : -1;
         } else if (message.kind == PermitKind::Done) {
             message.outcome = static_cast<int>(in.number());
-            message.tookMs = in.number();
+            message.durationMs = in.number();
         } else if (message.kind == PermitKind::Load) {
             message.shard = static_cast<int>(in.number());
             message.load = in.number();
--- a/src/policy/peer_messages.hpp
+++ b/src/policy/peer_messages.hpp
@@ -61,7 +61,7 @@
     std::uint64_t seq = 0;  // of the request; all but Load
     int shard = -1;         // Request, Load
     int outcome = 0;        // Done
-    double tookMs = 0;      // Done
+    double durationMs = 0;  // Done
     double load = 0;        // Load
     // Request only. `requestClass` and `plan` are indexes into the settings' lists. `reservedPart` and
     // `fairPart`, 0 to 1, are the parts of its units that the volume is entitled to. `coldAgeMs` is the time
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -813,7 +813,7 @@
             else if (message.kind == PermitKind::Grant) onGrant(from, message.seq);
             else if (message.kind == PermitKind::Done)
                 on(AttemptEnded{permitId(from, message.seq), "", static_cast<Outcome>(message.outcome), 0,
-                                message.tookMs, true, 0, 0});
+                                message.durationMs, true, 0, 0});
             else if (message.kind == PermitKind::Ack && found != queue_.end() &&
                      found->second->coordinator == from)
                 onCoordinatorReply(*found->second);
@@ -883,7 +883,7 @@
         node.unitsInFlight -= pending.request.units;
         if (attempt.grantedBy >= 0)
             outgoingPermits_[attempt.grantedBy].push_back(
-                {PermitKind::Done, pending.seq, -1, static_cast<int>(result.outcome), result.tookMs});
+                {PermitKind::Done, pending.seq, -1, static_cast<int>(result.outcome), result.durationMs});
         const auto isOneOf = [&result](auto... outcomes) { return ((result.outcome == outcomes) || ...); };
         const bool answered = isOneOf(Outcome::Served, Outcome::ServerError);
         const bool neverRan = isOneOf(Outcome::Rejected, Outcome::NotSent, Outcome::NoConnection);
@@ -898,7 +898,7 @@
                 node.suspect = false;
                 node.coldSince = std::max(node.coldSince, now_);
             }
-            node.window.onServed({result.tookMs, pending.request.units,
+            node.window.onServed({result.durationMs, pending.request.units,
                                   std::max(1.0, pending.requestClass->latencyTargetMs), attempt.sentAt},
                                  node.inflight, now_);
             if (isCold(node)) node.coldUnitsServed.entries.push_back({now_, pending.request.units});
--- a/tests/module/support.hpp
+++ b/tests/module/support.hpp
@@ -120,13 +120,13 @@
         }
     }
     void endAttempt(double now, const Attempt& attempt, Outcome outcome, bool requestEnded = false,
-                    double tookMs = 20) {
+                    double durationMs = 20) {
         AttemptEnded result;
         result.id = attempt.id;
         result.node = attempt.node;
         result.outcome = outcome;
         result.attempt = attemptCounts[attempt.id] - 1;
-        result.tookMs = tookMs;
+        result.durationMs = durationMs;
         result.requestEnded = requestEnded || outcome == Outcome::Served;
         step(now, {result});
     }
