--- a/apps/spokewheel.cpp
+++ b/apps/spokewheel.cpp
@@ -31,27 +31,31 @@
 
 int runBadDay(const std::string& script, std::uint64_t seed, int rounds, const std::string& bin) {
     spokewheel::config::ConfigErrors errors;
-    spokewheel::kit::BadDaySettings s;
-    s.bin = bin;
-    s.script = spokewheel::kit::readScript(script, errors);
+    spokewheel::kit::BadDaySettings settings;
+    settings.bin = bin;
+    settings.script = spokewheel::kit::readFaultScript(script, errors);
     for (const auto& e : errors) std::fprintf(stderr, "%s\n", e.text().c_str());
     if (!errors.empty()) return 2;
     const auto name = "spokewheel-bad-day-" + std::to_string(getpid());
-    s.directory = (std::filesystem::temp_directory_path() / name).string();
-    s.seed = seed;
-    s.rounds = rounds;
-    s.progress = [](const std::string& message) {
+    settings.directory = (std::filesystem::temp_directory_path() / name).string();
+    settings.seed = seed;
+    settings.rounds = rounds;
+    settings.progress = [](const std::string& message) {
         std::printf("  %s\n", message.c_str());
         std::fflush(stdout);
     };
-    const auto r = spokewheel::kit::badDay(s);
-    std::printf("%s", spokewheel::kit::tell(r.verdicts, r.fromUs).c_str());
+    const auto result = spokewheel::kit::runBadDay(settings);
+    std::printf("%s", spokewheel::kit::formatResults(result.rules, result.startUs).c_str());
     std::printf(
         "uploads: %zu of %zu ok, downloads: %zu of %zu, single reads: %zu of %zu; files with wrong content: "
         "%zu\n",
-        r.pushesFine, r.pushes, r.pullsFine, r.pulls, r.fetchesFine, r.fetches, r.halfFiles);
-    if (!r.fault.empty()) std::printf("not judged: %s\n", r.fault.c_str());
-    return r.fault.empty() && r.halfFiles == 0 && !spokewheel::kit::anyBroken(r.verdicts) ? 0 : 1;
+        result.uploadsOk, result.uploads, result.downloadsOk, result.downloads, result.singleReadsOk,
+        result.singleReads, result.filesWithWrongContent);
+    if (!result.error.empty()) std::printf("records incomplete: %s\n", result.error.c_str());
+    return result.error.empty() && result.filesWithWrongContent == 0 &&
+                   !spokewheel::kit::anyViolated(result.rules)
+               ? 0
+               : 1;
 }
 
 struct MatrixArguments {
@@ -72,13 +76,13 @@
     kit::HostOptions quiet;
     quiet.logLevel = "info";
     fleet.startHost(0, 1, quiet);
-    kit::Matrix matrix(fleet, directory + "/trees");
+    kit::OptionMatrix matrix(fleet, directory + "/trees");
     const auto print = [](const std::string& message) {
         std::printf("%s\n", message.c_str());
         std::fflush(stdout);
     };
     if (a.oneMix) {
-        kit::Mix mix;
+        kit::OptionMix mix;
         mix.seed = a.seed;
         mix.entries = a.entries;
         mix.push = a.push;
@@ -87,17 +91,17 @@
         std::istringstream parts(a.options);
         for (std::string o; std::getline(parts, o, '|');) mix.options.push_back(o);
         bool known = false, hung = false;
-        const auto difference = matrix.play(mix, known, hung);
+        const auto difference = matrix.compare(mix, known, hung);
         print(!difference.empty() ? "differs: " + difference
               : known             ? "differs as listed in the table of known differences"
                                   : "same result");
         return difference.empty() ? 0 : 1;
     }
-    const auto r = matrix.run(a.seed, a.rounds, print);
+    const auto result = matrix.run(a.seed, a.rounds, print);
     std::printf(
         "run: %zu, same result: %zu, known differences: %zu, unexpected differences: %zu, hung: %zu\n",
-        r.tried, r.same, r.byTable, r.differences.size(), r.hung);
-    return r.differences.empty() ? 0 : 1;
+        result.mixes, result.same, result.known, result.differences.size(), result.hung);
+    return result.differences.empty() ? 0 : 1;
 }
 
 }  // namespace
