--- a/fuzz/platform_fuzz.cpp
+++ b/fuzz/platform_fuzz.cpp
@@ -32,7 +32,7 @@
     if (parser.next(text, body) != wire::http::Parser::Result::Head) return;
     if (kind == wire::http::Parser::Kind::Response) {
         const auto response = dialect.interpret(parser.head());
-        if (!(response.usage >= 0) || !(response.othersGot >= 0) || !std::isfinite(response.usage))
+        if (!(response.usage >= 0) || !(response.servedElsewhere >= 0) || !std::isfinite(response.usage))
             std::abort();
         if (response.outcome == Outcome::Served && parser.head().status != 200) std::abort();
         return;
@@ -79,7 +79,7 @@
     std::string error;
     if (registry::parseEndpoints(text, list, error)) {
         for (const auto& e : list.entries)
-            if (e.node.empty() || e.shard < -1 || !(e.cameUpMs >= 0)) std::abort();
+            if (e.node.empty() || e.shard < -1 || !(e.startedMs >= 0)) std::abort();
     } else if (error.empty()) std::abort();
     try {
         platform::parseConfiguration(text, "file", {});
--- a/src/fronts/decide_pace.hpp
+++ b/src/fronts/decide_pace.hpp
@@ -6,10 +6,9 @@
 // again, and an rsync client that is told of a refusal ends with files missing, where its user expects it to
 // slow down. So the units that a volume has open at one host are kept within a window:
 //  - For a volume with a limit the window starts at the host's even share of what the limit lets through
-//  within
-//    the shortest aim. It may grow to the whole of that, as all clients of the volume may use this host. It
-//    may not grow further: the scheduler serves those requests first that can still meet their aim, so the
-//    oldest would be overtaken until their deadlines pass.
+//    within the shortest latency target. It may grow to the whole of that, as all clients of the volume may
+//    use this host. It may not grow further: the scheduler serves those requests first that can still meet
+//    their latency target, so the oldest would be overtaken until their deadlines pass.
 //  - It grows by one largest request for each window served and is halved by a refusal. Refusals of requests
 //    that were open together halve it once.
 //  - Without a limit there is no window until the first refusal.
@@ -29,15 +28,15 @@
 class VolumeWindow {
   public:
     struct Parameters {
-        double limit = 0;                       // units per second over all hosts; 0: none
-        int hosts = 1;                          // number of hosts that serve the volume
-        double topUnits = 1;                    // of the largest request
-        double aimMs = 500, deadlineMs = 1000;  // the shortest of the classes in use
+        double limit = 0;                                 // units per second over all hosts; 0: none
+        int hosts = 1;                                    // number of hosts that serve the volume
+        double maxUnits = 1;                              // of the largest request
+        double latencyTargetMs = 500, deadlineMs = 1000;  // the shortest of the classes in use
     };
     explicit VolumeWindow(const Parameters& parameters) : parameters_(parameters), window_(kUnlimited) {
         if (parameters.limit <= 0) return;
-        const double fits = parameters.limit * parameters.aimMs / 1000;
-        window_ = std::max(kMinRequests * parameters.topUnits, fits / std::max(1, parameters.hosts));
+        const double fits = parameters.limit * parameters.latencyTargetMs / 1000;
+        window_ = std::max(kMinRequests * parameters.maxUnits, fits / std::max(1, parameters.hosts));
         maxWindow_ = std::max(window_, fits);
     }
     // Whether a request may be sent now. Where only the pause after a refusal forbids it, one may be sent
@@ -53,7 +52,7 @@
         refusalsInRow_ = 0;
         lastServedByShard_[shard] = lastServedMs_ = nowMs;
         if (window_ < kUnlimited)
-            window_ = std::min(maxWindow_, window_ + parameters_.topUnits * units / window_);
+            window_ = std::min(maxWindow_, window_ + parameters_.maxUnits * units / window_);
         // Without a limit the window ends once the last refusal is long ago.
         if (parameters_.limit <= 0 && nowMs - halvedAtMs_ > kForgetRefusalMs) window_ = kUnlimited;
     }
@@ -62,7 +61,7 @@
     // that is assumed if the shard served nothing while this request was open; with a limit, if it has served
     // nothing for kDeadlinesWithoutService deadlines, since a volume at its limit may get nothing from one
     // node for a while.
-    bool onRefused(double units, int shard, double sentMs, double firstRefusedMs, double holdOffMs,
+    bool onRefused(double units, int shard, double sentMs, double firstRefusedMs, double retryAfterMs,
                    double nowMs) {
         const double before = open_;
         onEnded(units);
@@ -75,12 +74,12 @@
                                          kDeadlinesWithoutService * parameters_.deadlineMs)
             return false;
         if (nowMs - halvedAtMs_ > parameters_.deadlineMs / 2) {
-            window_ = std::max(parameters_.topUnits, std::min(window_, before) / 2);
+            window_ = std::max(parameters_.maxUnits, std::min(window_, before) / 2);
             halvedAtMs_ = nowMs;
         }
         // Exponential backoff while nothing is served, so that a volume whose requests are refused at once is
         // not retried in a tight loop.
-        const double pause = std::max(holdOffMs, kMinPauseMs * static_cast<double>(1u << refusalsInRow_));
+        const double pause = std::max(retryAfterMs, kMinPauseMs * static_cast<double>(1u << refusalsInRow_));
         refusalsInRow_ = std::min(refusalsInRow_ + 1, 6u);
         resumeAtMs_ = std::max(resumeAtMs_, nowMs + std::min(pause, kMaxPauseMs));
         return true;
--- a/src/fronts/request_pacer.cpp
+++ b/src/fronts/request_pacer.cpp
@@ -86,7 +86,7 @@
         };
         request.send = [this, send = std::move(send), done = std::move(done)](std::uint64_t id) {
             return send([this, id, done](Result r) {
-                if (!pacer_.settle(id, r.ok, r.refused, r.holdOffMs)) return;
+                if (!pacer_.settle(id, r.ok, r.refused, r.retryAfterMs)) return;
                 ids_.erase(id);
                 done(std::move(r));  // may destroy this store
             });
@@ -126,14 +126,14 @@
     if (found != queues_.end()) return found->second;
     VolumeWindow::Parameters parameters;
     parameters.hosts = volume.hosts;
-    parameters.topUnits = settings_.module.maxUnits;
+    parameters.maxUnits = settings_.module.maxUnits;
     for (const auto& p : settings_.module.plans)
         if (p.name == volume.plan) parameters.limit = p.limit;
-    parameters.aimMs = parameters.deadlineMs = 3.6e6;
+    parameters.latencyTargetMs = parameters.deadlineMs = 3.6e6;
     for (const auto& c : settings_.module.classes)
         if (c.name == settings_.readClass || c.name == settings_.largeReadClass ||
             c.name == settings_.writeClass)
-            parameters.aimMs = std::min(parameters.aimMs, c.latencyTargetMs),
+            parameters.latencyTargetMs = std::min(parameters.latencyTargetMs, c.latencyTargetMs),
             parameters.deadlineMs = std::min(parameters.deadlineMs, c.deadlineMs);
     return queues_.emplace(volume.name, parameters).first->second;
 }
@@ -197,7 +197,7 @@
     }
 }
 
-bool RequestPacer::settle(std::uint64_t id, bool ok, bool refused, double holdOffMs) {
+bool RequestPacer::settle(std::uint64_t id, bool ok, bool refused, double retryAfterMs) {
     const auto found = requests_.find(id);
     if (found == requests_.end()) return false;
     auto& request = found->second;
@@ -210,7 +210,7 @@
         ++counters_.refused;
         if (request.firstRefusedMs < 0) request.firstRefusedMs = now;
         const bool retry = queue.window.onRefused(request.units, request.shard, request.sentMs,
-                                                  request.firstRefusedMs, holdOffMs, now);
+                                                  request.firstRefusedMs, retryAfterMs, now);
         finished = !retry || expired(request, now);
         if (finished) ++counters_.gaveUp;
         else queue.requests.add(request.session, id, true);
--- a/src/host/host.cpp
+++ b/src/host/host.cpp
@@ -109,7 +109,7 @@
     }
 }
 
-void Host::answerBy(double atMs) {
+void Host::setShutdownDeadline(double atMs) {
     latestDeadline_ = atMs;
     guard_.onDeadline(atMs);
     for (auto& [id, request] : requests_) request.deadline = std::min(request.deadline, atMs);
@@ -193,14 +193,14 @@
     ++counters_.outcomes[result.outcome];
     logEvent("outcome", id, node, std::to_string(static_cast<int>(result.outcome)));
     const bool served = result.outcome == Outcome::Served;
-    AttemptEnded verdict{id,
-                         node,
-                         result.outcome,
-                         attempt,
-                         result.tookMs,
-                         served || !request.done,
-                         result.usage,
-                         result.othersGot};
+    AttemptEnded ended{id,
+                       node,
+                       result.outcome,
+                       attempt,
+                       result.durationMs,
+                       served || !request.done,
+                       result.usage,
+                       result.servedElsewhere};
     if (served && request.done) {
         Answer answer;
         answer.kind = Answer::Kind::Served;
@@ -209,7 +209,7 @@
         answer.shard = shardOf(node);
         finish(id, std::move(answer));
     } else if (!request.done && request.openAttempts == 0) erase(id);
-    queueEvent(std::move(verdict));
+    queueEvent(std::move(ended));
 }
 
 // Gives the request its one answer. It is kept until its open attempts have ended, so that the scheduler gets
@@ -252,7 +252,7 @@
 }
 void Host::perform(const Probe& action) {
     dependencies_.nodes->probe(action.node, [this, alive = alive_, node = action.node](AttemptResult result) {
-        if (*alive) queueEvent(ProbeResult{node, result.outcome, result.tookMs});
+        if (*alive) queueEvent(ProbeResult{node, result.outcome, result.durationMs});
     });
 }
 void Host::perform(const SendToPeers& action) {
@@ -276,7 +276,7 @@
     if (dependencies_.fetchList) dependencies_.fetchList();
 }
 void Host::perform(const LimitAccount& action) {
-    if (dependencies_.onLimitNote) dependencies_.onLimitNote(action);
+    if (dependencies_.onLimitAccount) dependencies_.onLimitAccount(action);
 }
 
 }  // namespace spokewheel::host
--- a/src/host/host.hpp
+++ b/src/host/host.hpp
@@ -41,7 +41,7 @@
     int status = 0;
     std::string body;
     int shard = -1;
-    double holdOffMs = 0;  // refused: how long the client should wait before it retries
+    double retryAfterMs = 0;  // refused: how long the client should wait before it retries
 };
 
 // Statistics for the log; no decision depends on them.
@@ -65,7 +65,8 @@
         std::function<void(const char* event, const std::string& request, const std::string& node,
                            const std::string& words)>
             logEvent;
-        std::function<void(const LimitAccount&)> onLimitNote;  // only called if Settings::reportLimitAccounts
+        // Only called if Settings::reportLimitAccounts.
+        std::function<void(const LimitAccount&)> onLimitAccount;
     };
     // Throws std::invalid_argument if the settings contradict each other. The scheduler holds at most
     // `maxInScheduler` requests at once; the others queue here in order of arrival while their time to live
@@ -82,7 +83,7 @@
     // The client has gone and its answer is no longer wanted.
     void abandon(const std::string& id);
     // Moves the deadlines of all open and future requests to `atMs` (on io::nowMs()) where they are later.
-    void answerBy(double atMs);
+    void setShutdownDeadline(double atMs);
     void onList(ListUpdate update);
     void onPeerMessage(int from, std::string bytes);
 
@@ -93,7 +94,7 @@
     invariants::Monitor& monitor() { return monitor_; }
     // -1 if the node is not known.
     int shardOf(const std::string& node) const;
-    std::vector<LimitAccount> limitNotes() const { return scheduler_.limitAccounts(); }
+    std::vector<LimitAccount> limitAccounts() const { return scheduler_.limitAccounts(); }
     std::uint64_t unreadablePeerMessages() const { return scheduler_.unreadableMessages(); }
 
   private:
@@ -136,7 +137,7 @@
     AttemptGuard guard_{settings_, monitor_};
     Scheduler scheduler_;
     std::size_t maxInScheduler_, inScheduler_ = 0;
-    double latestDeadline_ = 1e18;  // set by answerBy()
+    double latestDeadline_ = 1e18;  // set by setShutdownDeadline()
     std::string idPrefix_;
     std::uint64_t nextId_ = 0;
     std::unordered_map<std::string, Request> requests_;
--- a/src/nodes/node_client.cpp
+++ b/src/nodes/node_client.cpp
@@ -73,7 +73,7 @@
         AttemptResult out;
         out.outcome = outcomeOf(head.status, head.find("Want-Repr-Digest") != nullptr);
         out.usage = numberField(head, "Spokewheel-Usage");
-        out.othersGot = numberField(head, "Spokewheel-Others");
+        out.servedElsewhere = numberField(head, "Spokewheel-Others");
         return out;
     };
     d.probeTarget = "/load";
@@ -344,7 +344,7 @@
     }
     buffered_ -= pending->result.body.size();
     pending->result.outcome = outcome;
-    pending->result.tookMs = io::nowMs() - pending->startedAt;
+    pending->result.durationMs = io::nowMs() - pending->startedAt;
     if (outcome != Outcome::Served) pending->result.body.clear();
     pending->done(std::move(pending->result));
 }
--- a/src/nodes/node_client.hpp
+++ b/src/nodes/node_client.hpp
@@ -25,7 +25,7 @@
     std::function<bool(const std::string& node, io::Address&)> resolve;
     // Adds the fields that are set for each attempt.
     std::function<void(const host::AttemptLabel&, double expireInMs, wire::http::Fields&)> addFields;
-    // Sets the result's outcome, `usage` and `othersGot` from the head of the response.
+    // Sets the result's outcome, `usage` and `servedElsewhere` from the head of the response.
     std::function<host::AttemptResult(const wire::http::Head&)> interpret;
     std::string probeTarget;
     // Whether only a request that was written completely can have run. If not, any of which a byte was
@@ -109,7 +109,7 @@
     std::map<std::string, std::vector<LinkPtr>> links_;  // by node, idle and in use
 };
 
-// The outcome of a response by its status. "Not executed" (TurnedAway) are 503, and 400 with
+// The outcome of a response by its status. "Not executed" (Rejected) are 503, and 400 with
 // Want-Repr-Digest: the body did not match the digest in the request (RFC 9530, 4), so the node did nothing
 // and the same bytes may be sent again.
 Outcome outcomeOf(int status, bool wantsDigest);
