--- a/apps/spokewheel.cpp
+++ b/apps/spokewheel.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 int check(const std::string& file) {
-    spokewheel::config::Mistakes mistakes;
+    spokewheel::config::ConfigErrors mistakes;
     const auto settings = spokewheel::config::readSettings(file, mistakes);
     if (mistakes.empty() && !settings.nodesFile.empty())
         spokewheel::config::readNodeList(settings.nodesFile, mistakes);
@@ -30,7 +30,7 @@
 }
 
 int playBadDay(const std::string& script, std::uint64_t seed, int rounds, const std::string& bin) {
-    spokewheel::config::Mistakes mistakes;
+    spokewheel::config::ConfigErrors mistakes;
     spokewheel::kit::BadDaySettings s;
     s.bin = bin;
     s.script = spokewheel::kit::readScript(script, mistakes);
--- a/apps/spokewheeld.cpp
+++ b/apps/spokewheeld.cpp
@@ -56,7 +56,7 @@
         std::fprintf(stderr, "spokewheeld: --config FILE or --platform is wanted\n");
         return 2;
     }
-    spokewheel::config::Mistakes mistakes;
+    spokewheel::config::ConfigErrors mistakes;
     auto settings = spokewheel::config::readSettings(file, mistakes);
     for (const auto& m : mistakes) std::fprintf(stderr, "%s\n", m.text().c_str());
     if (!mistakes.empty()) return 2;
--- a/bench/lists.cpp
+++ b/bench/lists.cpp
@@ -54,7 +54,7 @@
         v.id = std::to_string(i);
         v.version = 1;
         v.size = 1000;
-        known.learn("maps", std::move(v));
+        known.addVersion("maps", std::move(v));
     }
     std::vector<double> longest[2], sum[2];
     bool same = true;
--- a/cmake/Gateway.cmake
+++ b/cmake/Gateway.cmake
@@ -45,7 +45,7 @@
 spokewheel_layer(nodes DIRS src/nodes SOURCES src/nodes/node_client.cpp src/nodes/feed.cpp
   LINKS sw_host sw_catalogue sw_wire_http)
 spokewheel_layer(registry DIRS src/registry
-  SOURCES src/registry/list_file.cpp src/registry/list_http.cpp src/registry/endpoints.cpp src/registry/node_book.cpp src/registry/watch_http.cpp
+  SOURCES src/registry/node_list_file.cpp src/registry/node_list_poller.cpp src/registry/endpoints.cpp src/registry/node_table.cpp src/registry/endpoint_watcher.cpp
   LINKS sw_config sw_io sw_wire_http sw_wire_peer nlohmann_json::nlohmann_json)
 spokewheel_layer(peers DIRS src/peers SOURCES src/peers/peer_link.cpp src/peers/plain_link.cpp LINKS sw_wire_peer sw_io)
 spokewheel_layer(fronts DIRS src/fronts
--- a/kit/script.cpp
+++ b/kit/script.cpp
@@ -38,38 +38,38 @@
 bool ofNode(Deed d) { return d <= Deed::Return; }
 bool ofHost(Deed d) { return d == Deed::KillHost || d == Deed::StartHost; }
 
-Script readScript(const std::string& file, config::Mistakes& mistakes) {
+Script readScript(const std::string& file, config::ConfigErrors& mistakes) {
     Script s;
-    auto top = config::open(file, mistakes);
+    auto top = config::loadYamlFile(file, mistakes);
     if (!mistakes.empty()) return s;
     s.name = top.text("name", true);
-    s.hosts = static_cast<int>(top.whole("hosts", 3, 1, 50));
-    s.nodes = static_cast<int>(top.whole("nodes", 6, 2, 50));
-    s.registry = top.word("list", false, {{"file", false}, {"http", true}});
+    s.hosts = static_cast<int>(top.integer("hosts", 3, 1, 50));
+    s.nodes = static_cast<int>(top.integer("nodes", 6, 2, 50));
+    s.registry = top.choice("list", false, {{"file", false}, {"http", true}});
     s.workMs = top.number("work-ms", 4, 0, 1000);
-    s.rest = static_cast<std::size_t>(top.whole("rest", 60, 1, 100000));
-    top.each("steps", true, [&](config::Section& section) {
+    s.rest = static_cast<std::size_t>(top.integer("rest", 60, 1, 100000));
+    top.forEach("steps", true, [&](config::Section& section) {
         Step step;
-        step.after = static_cast<std::size_t>(section.whole("after", 0, 0, 100000));
-        step.deed = section.word("do", Deed::Clear, deeds(), true);
+        step.after = static_cast<std::size_t>(section.integer("after", 0, 0, 100000));
+        step.deed = section.choice("do", Deed::Clear, deeds(), true);
         const char* who = ofNode(step.deed) ? "node" : ofHost(step.deed) ? "host" : nullptr;
         if (who) {
             const int most = (ofNode(step.deed) ? s.nodes : s.hosts) - 1;
             const auto text = section.text(who, true);
             if (text == "any") step.whom = Step::kAny;
-            else if (text != "last") step.whom = static_cast<int>(section.whole(who, 0, 0, most));
+            else if (text != "last") step.whom = static_cast<int>(section.integer(who, 0, 0, most));
         }
         const bool share = step.deed == Deed::LoseMessages;
         if (share) step.by = section.number("share", 0, 0, 1, true);
         if (step.deed == Deed::Slow) step.by = section.number("times", 1, 0.01, 1000, true);
         if (step.deed == Deed::Burst)
-            step.by = static_cast<double>(section.whole("clients", 1, 1, 200, true));
+            step.by = static_cast<double>(section.integer("clients", 1, 1, 200, true));
         if (step.deed == Deed::ListBehind) step.by = section.number("ms", 0, 0, 60000, true);
         const bool list = step.deed >= Deed::ListDown;
-        if (list && !s.registry) section.complain("do", "needs 'list: http'");
+        if (list && !s.registry) section.addError("do", "needs 'list: http'");
         s.steps.push_back(step);
     });
-    top.finish();
+    top.rejectUnknownKeys();
     return s;
 }
 
--- a/kit/script.hpp
+++ b/kit/script.hpp
@@ -50,7 +50,7 @@
     std::vector<Step> steps;
 };
 
-Script readScript(const std::string& file, config::Mistakes& mistakes);
+Script readScript(const std::string& file, config::ConfigErrors& mistakes);
 const char* nameOf(Deed deed);
 bool ofNode(Deed deed);
 bool ofHost(Deed deed);
--- a/src/catalogue/catalogue.cpp
+++ b/src/catalogue/catalogue.cpp
@@ -4,10 +4,10 @@
 
 namespace spokewheel::catalogue {
 
-void Catalogue::learn(const std::string& volume, FileVersion version) {
+void Catalogue::addVersion(const std::string& volume, FileVersion version) {
     auto& shown = volumes_[volume][version.path];
-    if (shown && shown->id == version.id && shown->shard != version.shard) ++doubles_;
-    if (shown && !wins(version, *shown)) return;
+    if (shown && shown->id == version.id && shown->shard != version.shard) ++duplicates_;
+    if (shown && !supersedes(version, *shown)) return;
     if (!shown) ++count_;
     shown = std::make_shared<const FileVersion>(std::move(version));
 }
@@ -19,11 +19,11 @@
             else ++it;
 }
 
-Shown Catalogue::find(const std::string& volume, const std::string& path) const {
+FileVersionPtr Catalogue::find(const std::string& volume, const std::string& path) const {
     const auto v = volumes_.find(volume);
     if (v == volumes_.end()) return nullptr;
     const auto f = v->second.find(path);
-    return f == v->second.end() || f->second->kind == Kind::Gone ? nullptr : f->second;
+    return f == v->second.end() || f->second->kind == Kind::Deleted ? nullptr : f->second;
 }
 
 std::uint64_t Catalogue::baseVersion(const std::string& volume, const std::string& path) const {
@@ -33,21 +33,22 @@
     return f == v->second.end() ? 0 : f->second->version;
 }
 
-std::vector<Shown> Catalogue::below(const std::string& volume, const std::string& directory) const {
-    std::vector<Shown> out;
+std::vector<FileVersionPtr> Catalogue::entriesBelow(const std::string& volume,
+                                                    const std::string& directory) const {
+    std::vector<FileVersionPtr> out;
     const auto v = volumes_.find(volume);
     if (v == volumes_.end()) return out;
     const auto prefix = directory.empty() ? "" : directory + "/";
     for (auto it = v->second.lower_bound(prefix); it != v->second.end(); ++it) {
         if (it->first.compare(0, prefix.size(), prefix) != 0) break;
-        if (it->second->kind != Kind::Gone) out.push_back(it->second);
+        if (it->second->kind != Kind::Deleted) out.push_back(it->second);
     }
     return out;
 }
 
-Catalogue::Part Catalogue::belowFrom(const std::string& volume, const std::string& directory,
+Catalogue::Page Catalogue::pageBelow(const std::string& volume, const std::string& directory,
                                      const std::string& after, std::size_t most) const {
-    Part out;
+    Page out;
     const auto v = volumes_.find(volume);
     if (v == volumes_.end()) return out;
     const auto prefix = directory.empty() ? "" : directory + "/";
@@ -56,7 +57,7 @@
         out.more = most-- == 0;
         if (out.more) return out;
         out.last = it->first;
-        if (it->second->kind != Kind::Gone) out.shown.push_back(it->second);
+        if (it->second->kind != Kind::Deleted) out.entries.push_back(it->second);
     }
     return out;
 }
@@ -80,7 +81,7 @@
     const auto prefix = path + "/";
     for (auto it = v->second.lower_bound(prefix); it != v->second.end(); ++it) {
         if (it->first.compare(0, prefix.size(), prefix) != 0) return false;
-        if (it->second->kind != Kind::Gone) return true;
+        if (it->second->kind != Kind::Deleted) return true;
     }
     return false;
 }
--- a/src/catalogue/fields.hpp
+++ b/src/catalogue/fields.hpp
@@ -7,7 +7,7 @@
 namespace spokewheel::catalogue {
 
 // The next part of `text` up to `by`, taken off it.
-inline std::string_view cut(std::string_view& text, char by) {
+inline std::string_view nextField(std::string_view& text, char by) {
     const auto at = std::min(text.find(by), text.size());
     const auto part = text.substr(0, at);
     text.remove_prefix(std::min(at + 1, text.size()));
--- a/src/catalogue/file_version.cpp
+++ b/src/catalogue/file_version.cpp
@@ -47,13 +47,13 @@
     FileVersion v;
     bool form = false;
     while (!text.empty()) {
-        auto value = cut(text, '&');
-        const auto name = cut(value, '=');
+        auto value = nextField(text, '&');
+        const auto name = nextField(value, '=');
         bool fine = true;
         if (name == "f") form = value == "1", fine = form;
         else if (name == "kind") {
             fine = value == "file" || value == "directory" || value == "gone";
-            v.kind = value == "file" ? Kind::File : value == "gone" ? Kind::Gone : Kind::Directory;
+            v.kind = value == "file" ? Kind::File : value == "gone" ? Kind::Deleted : Kind::Directory;
         } else if (name == "layout") {
             fine = value == "manifest";
             v.layout = Layout::Manifest;
@@ -83,18 +83,18 @@
 }
 
 std::optional<std::vector<Piece>> decodePieces(std::string_view text, std::uint64_t size) {
-    if (cut(text, '\n') != "pieces 1") return std::nullopt;
+    if (nextField(text, '\n') != "pieces 1") return std::nullopt;
     std::vector<Piece> out;
     std::uint64_t sum = 0;
     while (!text.empty()) {
-        auto line = cut(text, '\n');
+        auto line = nextField(text, '\n');
         Piece p;
-        const bool shard = number(cut(line, ' '), p.shard);
-        p.object = cut(line, ' ');
+        const bool shard = number(nextField(line, ' '), p.shard);
+        p.object = nextField(line, ' ');
         const bool known = (p.object.rfind("p/", 0) == 0 || p.object.rfind("o/", 0) == 0) &&
                            isHex(std::string_view(p.object).substr(2), 32);
-        const bool fine = shard && known && number(cut(line, ' '), p.size) && isHex(line, 32);
-        if (!fine || out.size() >= kMostPieces || p.size > size - sum) return std::nullopt;
+        const bool fine = shard && known && number(nextField(line, ' '), p.size) && isHex(line, 32);
+        if (!fine || out.size() >= kMaxPieces || p.size > size - sum) return std::nullopt;
         p.digest = line;
         sum += p.size;
         out.push_back(std::move(p));
@@ -103,17 +103,17 @@
     return out;
 }
 
-std::string hex128(std::string_view bytes) { return hexOf(XXH3_128bits(bytes.data(), bytes.size())); }
+std::string xxh128Hex(std::string_view bytes) { return hexOf(XXH3_128bits(bytes.data(), bytes.size())); }
 
 std::string versionId(std::string_view volume, const FileVersion& v) {
-    return hex128(std::string(volume) + "\n" + encode(v));
+    return xxh128Hex(std::string(volume) + "\n" + encode(v));
 }
 std::string pieceId(std::string_view volume, std::string_view path, std::uint64_t version, std::size_t index,
                     std::string_view digest) {
     std::string text(volume);
     text.append("\n").append(path).append("\n").append(std::to_string(version));
     text.append("\n").append(std::to_string(index)).append("\n").append(digest);
-    return hex128(text);
+    return xxh128Hex(text);
 }
 
 }  // namespace spokewheel::catalogue
--- a/src/catalogue/file_version.hpp
+++ b/src/catalogue/file_version.hpp
@@ -10,7 +10,7 @@
 
 namespace spokewheel::catalogue {
 
-enum class Kind { File, Directory, Gone };
+enum class Kind { File, Directory, Deleted };
 // Inline: the object's body is the content. Manifest: its body lists the pieces.
 enum class Layout { Inline, Manifest };
 
@@ -38,11 +38,11 @@
     std::uint64_t size = 0;
     std::string digest;
 };
-constexpr std::size_t kMostPieces = 1 << 18;
+constexpr std::size_t kMaxPieces = 1 << 18;
 std::string encode(const std::vector<Piece>& pieces);
 std::optional<std::vector<Piece>> decodePieces(std::string_view text, std::uint64_t size);
 
-std::string hex128(std::string_view bytes);  // xxh128, 32 hex digits, high half first
+std::string xxh128Hex(std::string_view bytes);  // xxh128, 32 hex digits, high half first
 // Names made from what they stand for, so that the same upload made again has the same name.
 std::string versionId(std::string_view volume, const FileVersion& v);
 std::string pieceId(std::string_view volume, std::string_view path, std::uint64_t version, std::size_t index,
--- a/src/config/checker.cpp
+++ b/src/config/checker.cpp
@@ -16,11 +16,11 @@
 
 }  // namespace
 
-std::string Mistake::text() const {
+std::string ConfigError::text() const {
     return file + ":" + std::to_string(line) + ": " + (key.empty() ? "" : key + ": ") + words;
 }
 
-Section::Section(YAML::Node node, std::string path, std::string file, Mistakes& mistakes)
+Section::Section(YAML::Node node, std::string path, std::string file, ConfigErrors& mistakes)
     : node_(std::move(node)), path_(std::move(path)), file_(std::move(file)), mistakes_(&mistakes) {}
 
 std::string Section::at(const std::string& key) const { return path_.empty() ? key : path_ + "." + key; }
@@ -29,7 +29,7 @@
     const auto child = static_cast<const YAML::Node&>(node_)[key];
     return child.IsDefined() ? lineOf(child) : lineOf(node_);
 }
-void Section::complain(const std::string& key, const std::string& words) {
+void Section::addError(const std::string& key, const std::string& words) {
     mistakes_->push_back({file_, line(key), at(key), words});
 }
 bool Section::has(const std::string& key) const {
@@ -39,7 +39,7 @@
 YAML::Node Section::take(const std::string& key, bool required) {
     taken_.insert(key);
     if (has(key)) return static_cast<const YAML::Node&>(node_)[key];
-    if (required) complain(key, "is missing");
+    if (required) addError(key, "is missing");
     return YAML::Node(YAML::NodeType::Undefined);
 }
 
@@ -47,10 +47,10 @@
     const auto n = take(key, required);
     if (!n.IsDefined() || n.IsNull()) return absent;
     if (!n.IsScalar()) {
-        complain(key, "must be text");
+        addError(key, "must be text");
         return absent;
     }
-    if (required && n.Scalar().empty()) complain(key, "must not be empty");
+    if (required && n.Scalar().empty()) addError(key, "must not be empty");
     return n.Scalar();
 }
 
@@ -62,19 +62,19 @@
     const auto [end, error] = std::from_chars(given.data(), last, value);
     if (error == std::errc() && end == last && std::isfinite(value) && value >= least && value <= most)
         return value;
-    complain(key, "'" + given + "' is not a number from " + pretty(least) + " to " + pretty(most));
+    addError(key, "'" + given + "' is not a number from " + pretty(least) + " to " + pretty(most));
     return absent;
 }
 
-std::int64_t Section::whole(const std::string& key, std::int64_t absent, std::int64_t least,
-                            std::int64_t most, bool required) {
+std::int64_t Section::integer(const std::string& key, std::int64_t absent, std::int64_t least,
+                              std::int64_t most, bool required) {
     const auto given = text(key, required);
     if (given.empty()) return absent;
     std::int64_t value = 0;
     const char* last = given.data() + given.size();
     const auto [end, error] = std::from_chars(given.data(), last, value);
     if (error == std::errc() && end == last && value >= least && value <= most) return value;
-    complain(key, "'" + given + "' is not a whole number from " + std::to_string(least) + " to " +
+    addError(key, "'" + given + "' is not a whole number from " + std::to_string(least) + " to " +
                       std::to_string(most));
     return absent;
 }
@@ -94,34 +94,34 @@
     if (found != units.end()) times = found->second;
     const bool fine = error == std::errc() && found != units.end() && value <= most / times;
     if (fine && value * times >= least) return value * times;
-    complain(key, "'" + given + "' is not a size from " + std::to_string(least) + " to " +
+    addError(key, "'" + given + "' is not a size from " + std::to_string(least) + " to " +
                       std::to_string(most) + " bytes (units: KiB, MiB, GiB)");
     return absent;
 }
 
-bool Section::flag(const std::string& key, bool absent) {
+bool Section::boolean(const std::string& key, bool absent) {
     const auto given = text(key, false);
     if (given.empty()) return absent;
     if (given == "true" || given == "false") return given == "true";
-    complain(key, "'" + given + "' is neither true nor false");
+    addError(key, "'" + given + "' is neither true nor false");
     return absent;
 }
 
 Section Section::section(const std::string& key, bool required) {
     auto n = take(key, required);
     if (n.IsDefined() && !n.IsMap()) {
-        complain(key, "must be a mapping of keys");
+        addError(key, "must be a mapping of keys");
         n = YAML::Node(YAML::NodeType::Map);
     }
     if (!n.IsDefined()) n = YAML::Node(YAML::NodeType::Map);
     return Section(n, at(key), file_, *mistakes_);
 }
 
-void Section::each(const std::string& key, bool required, const std::function<void(Section&)>& read) {
+void Section::forEach(const std::string& key, bool required, const std::function<void(Section&)>& read) {
     const auto n = take(key, required);
     if (!n.IsDefined()) return;
-    if (!n.IsSequence()) return complain(key, "must be a list");
-    if (required && n.size() == 0) complain(key, "must have at least one entry");
+    if (!n.IsSequence()) return addError(key, "must be a list");
+    if (required && n.size() == 0) addError(key, "must have at least one entry");
     for (std::size_t i = 0; i < n.size(); ++i) {
         const auto path = at(key) + "[" + std::to_string(i) + "]";
         if (!n[i].IsMap()) {
@@ -130,25 +130,25 @@
         }
         Section one(n[i], path, file_, *mistakes_);
         read(one);
-        one.finish();
+        one.rejectUnknownKeys();
     }
 }
 
-std::vector<std::string> Section::texts(const std::string& key) {
+std::vector<std::string> Section::textList(const std::string& key) {
     const auto n = take(key, false);
     std::vector<std::string> out;
     if (!n.IsDefined()) return out;
     if (!n.IsSequence()) {
-        complain(key, "must be a list of texts");
+        addError(key, "must be a list of texts");
         return out;
     }
     for (const auto& one : n)
         if (one.IsScalar()) out.push_back(one.Scalar());
-        else complain(key, "must be a list of texts");
+        else addError(key, "must be a list of texts");
     return out;
 }
 
-void Section::finish() {
+void Section::rejectUnknownKeys() {
     if (!node_.IsMap()) return;
     for (const auto& pair : node_) {
         const auto key = pair.first.IsScalar() ? pair.first.Scalar() : "?";
@@ -160,7 +160,7 @@
 }
 
 namespace {
-Section load(const std::function<YAML::Node()>& read, const std::string& file, Mistakes& mistakes) {
+Section load(const std::function<YAML::Node()>& read, const std::string& file, ConfigErrors& mistakes) {
     YAML::Node top(YAML::NodeType::Map);
     try {
         top = read();
@@ -177,10 +177,10 @@
 }
 }  // namespace
 
-Section open(const std::string& file, Mistakes& mistakes) {
+Section loadYamlFile(const std::string& file, ConfigErrors& mistakes) {
     return load([&file] { return YAML::LoadFile(file); }, file, mistakes);
 }
-Section parse(const std::string& text, const std::string& source, Mistakes& mistakes) {
+Section parseYaml(const std::string& text, const std::string& source, ConfigErrors& mistakes) {
     return load([&text] { return YAML::Load(text); }, source, mistakes);
 }
 
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -46,7 +46,7 @@
 
 // Reads and checks all of it, the files it names included. Where `mistakes` is not empty afterwards, the
 // result must not be used.
-DaemonSettings readSettings(const std::string& file, Mistakes& mistakes);
+DaemonSettings readSettings(const std::string& file, ConfigErrors& mistakes);
 
 // A node list: version and entries.
 struct NodeList {
@@ -54,7 +54,7 @@
     std::vector<NodeEntry> entries;
 };
 // The same from text; `source` stands for the file in what is told of mistakes.
-NodeList parseNodeList(const std::string& text, const std::string& source, Mistakes& mistakes);
-NodeList readNodeList(const std::string& file, Mistakes& mistakes);
+NodeList parseNodeList(const std::string& text, const std::string& source, ConfigErrors& mistakes);
+NodeList readNodeList(const std::string& file, ConfigErrors& mistakes);
 
 }  // namespace spokewheel::config
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -100,13 +100,13 @@
         log_.event(Level::Error, "node_list_fault", {{"words", words}}, io::nowMs());
     };
     if (!settings_.nodesFile.empty())
-        listFile_ = std::make_unique<registry::ListFile>(settings_.nodesFile, update, fault);
+        listFile_ = std::make_unique<registry::NodeListFile>(settings_.nodesFile, update, fault);
     else
-        listHttp_ = std::make_unique<registry::ListHttp>(
+        listHttp_ = std::make_unique<registry::NodeListPoller>(
             addressOf(settings_.nodesHttp),
             settings_.stateDir.empty() ? "" : settings_.stateDir + "/nodes.yaml", seed, update, fault,
             [this] {
-                starts_.heard({io::nowMs(), io::wallMs()});
+                starts_.noteContact({io::nowMs(), io::wallMs()});
             });
     rsync_ = std::make_unique<fronts::rsync::Server>(*context_, addressOf(settings_.listenRsync));
     log_.event(Level::Info, "started", {{"rsync_port", std::to_string(rsync_->port())}}, io::nowMs());
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -14,8 +14,8 @@
 #include "nodes/node_client.hpp"
 #include "peers/peer_link.hpp"
 #include "registry/decide_start_times.hpp"
-#include "registry/list_file.hpp"
-#include "registry/list_http.hpp"
+#include "registry/node_list_file.hpp"
+#include "registry/node_list_poller.hpp"
 
 namespace spokewheel {
 
@@ -46,8 +46,8 @@
     std::unique_ptr<fronts::rsync::Context> context_;
     std::unique_ptr<fronts::rsync::Server> rsync_;
     registry::StartTimes starts_{registry::Poll::kWaitMs + registry::Poll::kLateMs};
-    std::unique_ptr<registry::ListFile> listFile_;
-    std::unique_ptr<registry::ListHttp> listHttp_;
+    std::unique_ptr<registry::NodeListFile> listFile_;
+    std::unique_ptr<registry::NodeListPoller> listHttp_;
     io::Timer stopTimer_, pulseTimer_;
     double stoppingSince_ = -1;
 };
--- a/src/fronts/rsync/basis.cpp
+++ b/src/fronts/rsync/basis.cpp
@@ -6,7 +6,8 @@
 
 using namespace wire::rsync;
 
-Basis::Basis(Context& context, const Agreed& agreed, catalogue::Shown version, std::function<void()> wake)
+Basis::Basis(Context& context, const Agreed& agreed, catalogue::FileVersionPtr version,
+             std::function<void()> wake)
     : context_(context), agreed_(agreed), version_(std::move(version)), wake_(std::move(wake)) {}
 Basis::~Basis() {
     if (loading_) agreed_.store->abandon(request_);
--- a/src/fronts/rsync/basis.hpp
+++ b/src/fronts/rsync/basis.hpp
@@ -15,7 +15,8 @@
 
 class Basis : public std::enable_shared_from_this<Basis> {
   public:
-    Basis(Context& context, const Agreed& agreed, catalogue::Shown version, std::function<void()> wake);
+    Basis(Context& context, const Agreed& agreed, catalogue::FileVersionPtr version,
+          std::function<void()> wake);
     ~Basis();
     // Reads the whole and makes the sums; ready() or failed() afterwards.
     void prepare();
@@ -38,7 +39,7 @@
 
     Context& context_;
     Agreed agreed_;
-    catalogue::Shown version_;
+    catalogue::FileVersionPtr version_;
     std::function<void()> wake_;
     std::vector<catalogue::Piece> pieces_;
     std::vector<std::uint64_t> starts_;
--- a/src/fronts/rsync/listing.cpp
+++ b/src/fronts/rsync/listing.cpp
@@ -28,9 +28,9 @@
             continue;
         }
         const auto& below = task.what == What::Pattern ? std::string() : task.path.path;
-        const auto part = catalogue_.belowFrom(volume_, below, task.after, entries);
-        entries -= std::min(entries, part.shown.size() + 1);
-        for (const auto& v : part.shown) walk(task, v);
+        const auto part = catalogue_.pageBelow(volume_, below, task.after, entries);
+        entries -= std::min(entries, part.entries.size() + 1);
+        for (const auto& v : part.entries) walk(task, v);
         task.after = part.last;
         if (!part.more) {
             over(std::move(task));
@@ -55,7 +55,7 @@
     found_.push_back(std::move(listed));
 }
 
-void ListBuilder::file(const catalogue::Shown& v, const std::string& name) {
+void ListBuilder::file(const catalogue::FileVersionPtr& v, const std::string& name) {
     if (filter_.excluded(name, false) || full()) return;
     Listed l;
     l.entry.name = name;
@@ -102,7 +102,7 @@
 }
 
 // One of what lies below the task's path.
-void ListBuilder::walk(Task& task, const catalogue::Shown& v) {
+void ListBuilder::walk(Task& task, const catalogue::FileVersionPtr& v) {
     const auto& path = task.path.path;
     if (task.what == What::Pattern) {
         // A shell pattern over whole paths of as many parts.
--- a/src/fronts/rsync/listing.hpp
+++ b/src/fronts/rsync/listing.hpp
@@ -14,7 +14,7 @@
 
 struct Listed {
     wire::rsync::FileEntry entry;
-    catalogue::Shown version;  // pinned: what is served even where the path is replaced meanwhile
+    catalogue::FileVersionPtr version;  // pinned: what is served even where the path is replaced meanwhile
 };
 struct Listing {
     std::deque<Listed> files;         // in the order both sides number them; never moved to grow
@@ -52,10 +52,10 @@
         std::string after;           // as far as the walk has come
         std::set<std::string> hits;  // of a pattern
     };
-    void file(const catalogue::Shown& v, const std::string& name);
+    void file(const catalogue::FileVersionPtr& v, const std::string& name);
     void directory(const std::string& path, const std::string& name, bool top, bool content);
     void argument(const ModulePath& p);
-    void walk(Task& task, const catalogue::Shown& v);
+    void walk(Task& task, const catalogue::FileVersionPtr& v);
     void over(Task task);
     void parents(const ModulePath& p);
     void put(Listed listed);
--- a/src/fronts/rsync/receiving.cpp
+++ b/src/fronts/rsync/receiving.cpp
@@ -295,7 +295,7 @@
     return join(backupDir_, path.substr(std::min(skip, path.size()))) + o.backupSuffix;
 }
 
-void Receiving::keepBackup(const catalogue::Shown& shown, const std::string& path) {
+void Receiving::keepBackup(const catalogue::FileVersionPtr& shown, const std::string& path) {
     if (!shown || shown->kind != Kind::File) return;
     const auto to = backupOf(path);
     if (to.empty() || to == path || agreed_.options.dryRun) return;
@@ -346,7 +346,7 @@
 }
 
 // The content is there: only times and modes may have to follow.
-void Receiving::sameAsShown(std::int32_t index, const catalogue::Shown& shown) {
+void Receiving::sameAsShown(std::int32_t index, const catalogue::FileVersionPtr& shown) {
     const auto& o = agreed_.options;
     const auto& e = list_[static_cast<std::size_t>(index)];
     if (o.removeSource) succeeded(index);
@@ -378,7 +378,7 @@
         if (e.isDirectory() && e.content) content.insert(pathOf(e));
     }
     const auto skip = target_.path.empty() ? 0 : target_.path.size() + 1;
-    const auto shown = agreed_.store->catalogue().below(agreed_.volume->name, target_.path);
+    const auto shown = agreed_.store->catalogue().entriesBelow(agreed_.volume->name, target_.path);
     std::vector<Lying> lying;
     for (const auto& v : shown) lying.push_back({v->path, v->kind == Kind::Directory});
     const auto mayGo = [&](const Lying& one) {
@@ -393,7 +393,7 @@
         const auto& v = shown[i];
         auto chore = std::make_shared<Chore>();
         chore->version.path = v->path;
-        chore->version.kind = Kind::Gone;
+        chore->version.kind = Kind::Deleted;
         chore->version.version = v->version + 1;
         chore->version.mtime = g_get_real_time() / 1000000;
         chore->removed = v->path.substr(skip);
@@ -638,8 +638,8 @@
 void Receiving::flushPiece(const std::shared_ptr<Incoming>& f) {
     const auto most = static_cast<std::size_t>(context_.settings.pieceBytes);
     while (f->piece.size() >= most || (f->ended && !f->piece.empty())) {
-        if (f->pieces.size() >= catalogue::kMostPieces) {
-            f->fault = "has more than " + std::to_string(catalogue::kMostPieces) + " pieces";
+        if (f->pieces.size() >= catalogue::kMaxPieces) {
+            f->fault = "has more than " + std::to_string(catalogue::kMaxPieces) + " pieces";
             f->piece.clear();
             return;
         }
@@ -648,7 +648,7 @@
         auto lease = std::make_shared<host::Memory::Lease>(std::move(f->lease));
         catalogue::Piece p;
         p.size = body->size();
-        p.digest = catalogue::hex128(*body);
+        p.digest = catalogue::xxh128Hex(*body);
         p.object = "p/" + catalogue::pieceId(agreed_.volume->name, f->version.path, f->version.version,
                                              f->pieces.size(), p.digest);
         f->pieces.push_back(std::move(p));
--- a/src/fronts/rsync/receiving.hpp
+++ b/src/fronts/rsync/receiving.hpp
@@ -33,8 +33,8 @@
     // A small write that is not content: a directory, a deletion, new times of known content.
     struct Chore {
         catalogue::FileVersion version;
-        catalogue::Shown contentOf;  // metadata only: whose content the version keeps
-        std::string removed;         // a deletion: what the client is told
+        catalogue::FileVersionPtr contentOf;  // metadata only: whose content the version keeps
+        std::string removed;                  // a deletion: what the client is told
     };
 
     bool readFilter();
@@ -69,10 +69,10 @@
     bool showDelayed();
     std::set<std::string> emptyDirectories() const;
     std::string backupOf(const std::string& path) const;
-    void keepBackup(const catalogue::Shown& shown, const std::string& path);
+    void keepBackup(const catalogue::FileVersionPtr& shown, const std::string& path);
     bool inBackups(const std::string& path) const;
     bool isBackup(const std::string& path) const;
-    void sameAsShown(std::int32_t index, const catalogue::Shown& shown);
+    void sameAsShown(std::int32_t index, const catalogue::FileVersionPtr& shown);
     void succeeded(std::int32_t index);
     bool chores();
     void runChore(std::shared_ptr<Chore> chore);
--- a/src/fronts/rsync/sending.cpp
+++ b/src/fronts/rsync/sending.cpp
@@ -533,7 +533,7 @@
     tokens_.end(out);
     std::string sum;
     if (job.sum) sum = job.sum->wire();
-    else sum = sumOf(job.version->digest.empty() ? catalogue::hex128("") : job.version->digest);
+    else sum = sumOf(job.version->digest.empty() ? catalogue::xxh128Hex("") : job.version->digest);
     if (!job.fault.empty()) {
         // Failed half-way: a checksum that can't match makes the client throw away what it has, as the
         // stock sender does on a read error; it asks again in the second round.
--- a/src/fronts/rsync/sending.hpp
+++ b/src/fronts/rsync/sending.hpp
@@ -39,7 +39,7 @@
         bool marker = false, done = false, transfer = false, headSent = false;
         wire::rsync::BlockSums sums;
         std::size_t sumBytes = 0;
-        catalogue::Shown version;
+        catalogue::FileVersionPtr version;
         std::vector<catalogue::Piece> pieces;
         bool wantsManifest = false;
         std::map<std::size_t, Slot> slots;
--- a/src/fronts/store.cpp
+++ b/src/fronts/store.cpp
@@ -65,7 +65,7 @@
             r.refused = a.kind == host::Answer::Kind::Refused;
             r.holdOffMs = a.holdOffMs;
             if (a.kind != host::Answer::Kind::Served || a.status != 200) r.words = wordsOf(a);
-            else if (!digest.empty() && (a.body.size() != size || catalogue::hex128(a.body) != digest))
+            else if (!digest.empty() && (a.body.size() != size || catalogue::xxh128Hex(a.body) != digest))
                 r.words = "what the storage node returned does not match its checksum";
             else {
                 r.fine = true;
@@ -123,7 +123,7 @@
                  [this, name = volume.name, version = std::move(version),
                   done = std::move(done)](WriteResult r) mutable {
                      version.shard = r.shard;
-                     if (r.fine) catalogue_.learn(name, std::move(version));
+                     if (r.fine) catalogue_.addVersion(name, std::move(version));
                      done(std::move(r));
                  });
 }
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -46,7 +46,7 @@
     return out + "\"";
 }
 
-void Log::event(Level level, std::string_view name, Pairs pairs, double nowMs) {
+void Log::event(Level level, std::string_view name, Fields pairs, double nowMs) {
     const auto l = level == Level::Debug  ? spdlog::level::debug
                    : level == Level::Info ? spdlog::level::info
                    : level == Level::Warn ? spdlog::level::warn
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -17,14 +17,14 @@
 namespace spokewheel::log {
 
 enum class Level { Debug, Info, Warn, Error };
-using Pairs = std::initializer_list<std::pair<std::string_view, std::string_view>>;
+using Fields = std::initializer_list<std::pair<std::string_view, std::string_view>>;
 
 class Log {
   public:
     // To standard error where `file` is empty. Throws std::runtime_error where the file can't be opened.
     Log(const std::string& file, const std::string& level, std::string host);
     ~Log();
-    void event(Level level, std::string_view name, Pairs pairs, double nowMs);
+    void event(Level level, std::string_view name, Fields pairs, double nowMs);
     void flush();
     // The text of a JSON string, quotes included; bytes that are not UTF-8 come as \u00XX.
     static std::string quoted(std::string_view text);
--- a/src/nodes/feed.cpp
+++ b/src/nodes/feed.cpp
@@ -95,12 +95,12 @@
 // and checked before any of it counts.
 bool Feed::apply(Follow& f, const std::string& body, bool& anew) {
     std::string_view text = body;
-    auto head = catalogue::cut(text, '\n');
+    auto head = catalogue::nextField(text, '\n');
     std::uint64_t upTo = 0;
     int more = 0;
-    if (catalogue::cut(head, ' ') != "epoch") return false;
-    const std::string epoch(catalogue::cut(head, ' '));
-    if (epoch.empty() || !number(catalogue::cut(head, ' '), upTo) || !number(head, more)) return false;
+    if (catalogue::nextField(head, ' ') != "epoch") return false;
+    const std::string epoch(catalogue::nextField(head, ' '));
+    if (epoch.empty() || !number(catalogue::nextField(head, ' '), upTo) || !number(head, more)) return false;
     if (epoch != f.epoch) {
         anew = !f.epoch.empty();
         f.epoch = epoch;
@@ -110,17 +110,17 @@
     }
     std::vector<std::pair<std::string, catalogue::FileVersion>> found;
     while (!text.empty()) {
-        auto line = catalogue::cut(text, '\n');
+        auto line = catalogue::nextField(text, '\n');
         std::uint64_t sequence = 0;
-        if (!number(catalogue::cut(line, ' '), sequence)) return false;
-        const std::string volume(catalogue::cut(line, ' ')), id(catalogue::cut(line, ' '));
+        if (!number(catalogue::nextField(line, ' '), sequence)) return false;
+        const std::string volume(catalogue::nextField(line, ' ')), id(catalogue::nextField(line, ' '));
         auto version = catalogue::decode(line);
         if (!version) continue;  // an object of somebody else's, or of a later form
         version->id = id;
         version->shard = f.shard;
         found.emplace_back(volume, std::move(*version));
     }
-    for (auto& [volume, version] : found) into_.learn(volume, std::move(version));
+    for (auto& [volume, version] : found) into_.addVersion(volume, std::move(version));
     f.after = upTo;
     f.caughtUp = f.caughtUp || !more;
     return true;
--- a/src/platform/configuration.cpp
+++ b/src/platform/configuration.cpp
@@ -126,7 +126,7 @@
     c.known.revision = -1;
     if (const auto known = root.find("known"); known != root.end()) {
         std::string words;
-        if (!registry::readEndpoints(known->dump(), c.known, words) || c.known.unreadable)
+        if (!registry::parseEndpoints(known->dump(), c.known, words) || c.known.unreadable)
             file.fail("known", "a list: " + words);
     }
     const auto found = root.find("settings");
--- a/src/platform/platform_daemon.cpp
+++ b/src/platform/platform_daemon.cpp
@@ -104,7 +104,7 @@
 }
 
 void PlatformDaemon::follow() {
-    watch_ = std::make_unique<registry::WatchHttp>(
+    watch_ = std::make_unique<registry::EndpointWatcher>(
         configuration_.discovery, configuration_.known.revision, configuration_.seed,
         [this](registry::Endpoints list) {
             const auto form = list.complete ? ListForm::Full : ListForm::Delta;
@@ -115,7 +115,7 @@
         [this](registry::WatchFault fault, const std::string& words) {
             log_.event(Level::Warn, "node_list_fault", {{"reason", nameOf(fault)}, {"words", words}},
                        io::nowMs());
-            book_.observe({io::nowMs(), io::wallMs()});
+            book_.observeClocks({io::nowMs(), io::wallMs()});
             if (configuration_.module.subscribe) host_->onList({ListForm::Failed, {}});
         },
         [this] { onHeard(); });
@@ -123,7 +123,7 @@
 
 // The agent spoke: what the configuration's list says holds, with what the agent told besides.
 void PlatformDaemon::onHeard() {
-    book_.heard({io::nowMs(), io::wallMs()});
+    book_.noteContact({io::nowMs(), io::wallMs()});
     if (startList_->heardFromAgent()) return startList_->heard();
     startList_->heard();
     recall();
@@ -163,10 +163,10 @@
         log_.event(Level::Warn, "node_list_entries_unreadable", {{"count", std::to_string(list.unreadable)}},
                    io::nowMs());
     auto change = book_.apply(std::move(list), form, {io::nowMs(), io::wallMs()});
-    if (!change.news) return;
+    if (!change.applied) return;
     // The module hears first, so that what is retired is asked about with the new word known.
     host_->onList(std::move(change.update));
-    for (const auto& node : change.retire) nodes_->retire(node);
+    for (const auto& node : change.nodesToDisconnect) nodes_->retire(node);
 }
 
 void PlatformDaemon::reload() {
--- a/src/platform/platform_daemon.hpp
+++ b/src/platform/platform_daemon.hpp
@@ -12,8 +12,8 @@
 #include "peers/plain_link.hpp"
 #include "platform/configuration.hpp"
 #include "platform/start_list.hpp"
-#include "registry/node_book.hpp"
-#include "registry/watch_http.hpp"
+#include "registry/endpoint_watcher.hpp"
+#include "registry/node_table.hpp"
 
 namespace spokewheel::platform {
 
@@ -46,13 +46,13 @@
     io::Loop& loop_;
     Configuration configuration_;
     log::Log log_;
-    registry::NodeBook book_;
+    registry::NodeTable book_;
     double startedAt_ = io::nowMs();
     std::unique_ptr<nodes::NodeClient> nodes_;
     std::unique_ptr<host::Host> host_;
     std::unique_ptr<peers::PlainLink> peers_;
     std::unique_ptr<StartList> startList_;
-    std::unique_ptr<registry::WatchHttp> watch_;
+    std::unique_ptr<registry::EndpointWatcher> watch_;
     io::Timer startTimer_, pulseTimer_, stopTimer_, listenTimer_, reloadTimer_;
     double reloadUntil_ = 0;  // while a configuration that could not be read is read again
     std::unique_ptr<fronts::http::Server> server_;
--- a/src/platform/report.hpp
+++ b/src/platform/report.hpp
@@ -7,7 +7,7 @@
 #include "log/log.hpp"
 #include "nodes/node_client.hpp"
 #include "peers/plain_link.hpp"
-#include "registry/watch_http.hpp"
+#include "registry/endpoint_watcher.hpp"
 
 namespace spokewheel::platform {
 
@@ -19,7 +19,7 @@
     const host::Host& host;
     const fronts::http::Server& server;
     const nodes::NodeClient& nodes;
-    const registry::WatchHttp& watch;
+    const registry::EndpointWatcher& watch;
     const peers::PlainLink* peers;
     std::size_t violations;
 };
--- a/src/platform/start_list.cpp
+++ b/src/platform/start_list.cpp
@@ -9,7 +9,7 @@
 
 namespace peer = wire::peer;
 
-StartList::StartList(const registry::Endpoints& known, registry::NodeBook& book, int peers, int ownRank,
+StartList::StartList(const registry::Endpoints& known, registry::NodeTable& book, int peers, int ownRank,
                      std::uint64_t seed, Edges edges)
     : known_(known),
       book_(book),
@@ -27,9 +27,9 @@
 }
 
 void StartList::ask() {
-    for (const int rank : confirmation_.peersToAsk())
+    for (const int rank : confirmation_.peersToQuery())
         edges_.tell(rank, peer::pack(peer::MembershipQuery{nonce_}));
-    askTimer_.arm(confirmation_.askAgainMs(), [this] { ask(); });
+    askTimer_.arm(confirmation_.retryDelayMs(), [this] { ask(); });
 }
 
 bool StartList::onPeer(int from, std::string_view bytes) {
@@ -47,7 +47,7 @@
     if (!wordAt_ || !edges_.tell) return;
     const double now = io::nowMs();
     std::vector<peer::Member> members;
-    for (const auto& [node, startedAt] : book_.usable())
+    for (const auto& [node, startedAt] : book_.usableNodes())
         members.push_back({peer::idDigest(node), startedAt > 0 ? now - startedAt : peer::kOldestAgeMs});
     peer::MembershipPart head;
     head.nonce = query.nonce;
@@ -57,14 +57,14 @@
 }
 
 void StartList::take(int from, const peer::MembershipPart& part) {
-    if (confirmation_.take(from, part, io::nowMs())) settle();
+    if (confirmation_.addPart(from, part, io::nowMs())) settle();
 }
 
 void StartList::settle() {
-    const double wait = confirmation_.settlesInMs(io::nowMs());
+    const double wait = confirmation_.remainingWaitMs(io::nowMs());
     if (wait < 0) return;
     settleTimer_.arm(wait, [this] {
-        if (const auto nodes = confirmation_.confirmed(io::nowMs())) confirm(*nodes);
+        if (const auto nodes = confirmation_.confirmedNodes(io::nowMs())) confirm(*nodes);
     });
 }
 
@@ -73,7 +73,7 @@
     askTimer_.cancel();
     if (heard_ || (std::exchange(any_, true) && nodes.startedAt == used_)) return;
     used_ = nodes.startedAt;
-    wordAt_ = nodes.wordAt;
+    wordAt_ = nodes.lastContactAt;
     registry::Endpoints list;
     list.revision = known_.revision;
     list.complete = true;
@@ -83,7 +83,7 @@
         if (found == nodes.startedAt.end() || address == known_.addresses.end()) continue;
         list.entries.push_back(entry);
         list.addresses.insert(*address);
-        if (found->second > 0) book_.startedNotBefore(entry.node, found->second);
+        if (found->second > 0) book_.setEarliestStart(entry.node, found->second);
     }
     edges_.confirmed(std::move(list));
 }
--- a/src/platform/start_list.hpp
+++ b/src/platform/start_list.hpp
@@ -12,7 +12,7 @@
 #include "io/loop.hpp"
 #include "registry/decide_confirmation.hpp"
 #include "registry/endpoints.hpp"
-#include "registry/node_book.hpp"
+#include "registry/node_table.hpp"
 
 namespace spokewheel::platform {
 
@@ -26,7 +26,7 @@
         std::function<void(registry::Endpoints)> confirmed;
     };
     // `known`: the configuration's list. `book`: what is known by now; both outlive this object.
-    StartList(const registry::Endpoints& known, registry::NodeBook& book, int peers, int ownRank,
+    StartList(const registry::Endpoints& known, registry::NodeTable& book, int peers, int ownRank,
               std::uint64_t seed, Edges edges);
     // The agent has spoken: from now on only peers' queries are answered.
     void heard();
@@ -42,7 +42,7 @@
     void confirm(const registry::ConfirmedNodes& nodes);
 
     const registry::Endpoints& known_;
-    registry::NodeBook& book_;
+    registry::NodeTable& book_;
     Edges edges_;
     registry::Confirmation confirmation_;
     std::uint32_t nonce_;
--- a/src/registry/decide_confirmation.hpp
+++ b/src/registry/decide_confirmation.hpp
@@ -24,7 +24,7 @@
 // What peers confirm by now, by digest of the id.
 struct ConfirmedNodes {
     std::map<std::uint64_t, double> startedAt;  // by the own clock; 0: long ago
-    double wordAt = 0;                          // when the list service spoke last to the peers that answered
+    double lastContactAt = 0;                   // when the list service spoke last to the peers that answered
 };
 
 class Confirmation {
@@ -34,7 +34,7 @@
 
     // The peers to ask now. Up to half are such whose answer is incomplete, for a lost datagram is asked for
     // again; the others are drawn anew each time, since most of a fleet may have been restarted too.
-    std::vector<int> peersToAsk() {
+    std::vector<int> peersToQuery() {
         std::vector<int> out;
         for (const auto& [rank, answer] : answers_)
             if (!answer.complete() && out.size() < kAskedAtOnce / 2) out.push_back(rank);
@@ -49,10 +49,10 @@
         return out;
     }
     // Until they are asked again.
-    double askAgainMs() const { return rounds_ < kFastRounds ? kAskAgainMs : kAskAgainLateMs; }
+    double retryDelayMs() const { return rounds_ < kFastRounds ? kAskAgainMs : kAskAgainLateMs; }
 
     // A part of a peer's answer. False: it changes nothing.
-    bool take(int from, const wire::peer::MembershipPart& part, double nowMs) {
+    bool addPart(int from, const wire::peer::MembershipPart& part, double nowMs) {
         auto& answer = answers_[from];
         const double wordAt = nowMs - part.wordAgeMs;
         if (answer.parts != part.parts || answer.listVersion != part.listVersion) {
@@ -68,15 +68,15 @@
         if (answer.complete() && completeAt_ < 0) completeAt_ = nowMs;
         return true;
     }
-    // How long to wait for more answers before confirmed() has one; below zero: none is complete.
-    double settlesInMs(double nowMs) const {
+    // How long to wait for more answers before confirmedNodes() has one; below zero: none is complete.
+    double remainingWaitMs(double nowMs) const {
         if (completeAt_ < 0) return -1;
         return complete() >= kEnoughAnswers ? 0 : std::max(0.0, completeAt_ + kSettleMs - nowMs);
     }
     // What every complete answer names whose sender has heard about as much as the best of them: one whose
     // watch was broken before the others' is behind, and what it names may be out of date.
-    std::optional<ConfirmedNodes> confirmed(double nowMs) const {
-        if (settlesInMs(nowMs) != 0) return std::nullopt;
+    std::optional<ConfirmedNodes> confirmedNodes(double nowMs) const {
+        if (remainingWaitMs(nowMs) != 0) return std::nullopt;
         double latest = -1e18;
         for (const auto& [rank, answer] : answers_)
             if (answer.complete()) latest = std::max(latest, answer.wordAt);
@@ -119,7 +119,7 @@
         return count;
     }
     static void restrict(ConfirmedNodes& to, const Answer& answer) {
-        to.wordAt = std::min(to.wordAt, answer.wordAt);
+        to.lastContactAt = std::min(to.lastContactAt, answer.wordAt);
         for (auto it = to.startedAt.begin(); it != to.startedAt.end();) {
             const auto found = answer.startedAt.find(it->first);
             if (found == answer.startedAt.end()) {
--- a/src/registry/decide_start_times.hpp
+++ b/src/registry/decide_start_times.hpp
@@ -26,20 +26,20 @@
     // `quietMs`: the longest time between two words of a list service that is well.
     explicit StartTimes(double quietMs = 2600) : quietMs_(quietMs) {}
     // The list service spoke, whether or not it had news.
-    void heard(const ClockReading& clock) {
-        observe(clock);
+    void noteContact(const ClockReading& clock) {
+        observeClocks(clock);
         lastWordAt_ = clock.nowMs;
     }
     // To be called once for each list, before its entries are asked about. `fromService`: the list service
     // said it now; otherwise it was remembered. `knownUntilMs`: up to when the service had nothing newer,
     // where that is later than its last word (a blocking query).
     void read(const ClockReading& clock, bool fromService = true, double knownUntilMs = kNever) {
-        observe(clock);
+        observeClocks(clock);
         wordBefore_ = std::max(lastWordAt_, knownUntilMs);
         if (fromService) lastWordAt_ = clock.nowMs;
     }
     // Finds steps of the wall clock; the oftener it is called, the fewer can hide.
-    void observe(const ClockReading& clock) {
+    void observeClocks(const ClockReading& clock) {
         const double offset = clock.wallMs - clock.nowMs;
         if (read_ && std::abs(offset - offset_) > kStepMs) steppedAt_ = clock.nowMs;
         read_ = true;
@@ -59,7 +59,7 @@
         return start.localMs;
     }
     // A peer says when the node came up, on `nowMs`'s clock.
-    void notBefore(const std::string& node, double localMs) {
+    void setEarliestStart(const std::string& node, double localMs) {
         auto& start = starts_[node];
         start.localMs = std::max(start.localMs, localMs);
     }
--- a/src/registry/watch_http.cpp
+++ b/src/registry/endpoint_watcher.cpp
@@ -1,12 +1,12 @@
-#include "registry/watch_http.hpp"
+#include "registry/endpoint_watcher.hpp"
 
 #include <algorithm>
 #include <utility>
 
 namespace spokewheel::registry {
 
-WatchHttp::WatchHttp(const io::Address& at, std::int64_t revision, std::uint64_t seed, Update update,
-                     Fault fault, std::function<void()> heard)
+EndpointWatcher::EndpointWatcher(const io::Address& at, std::int64_t revision, std::uint64_t seed,
+                                 Update update, Fault fault, std::function<void()> heard)
     : at_(at),
       watch_(revision, seed),
       update_(std::move(update)),
@@ -15,17 +15,17 @@
     connect();
 }
 
-WatchHttp::~WatchHttp() {
+EndpointWatcher::~EndpointWatcher() {
     for (const auto& s : open_) s->connection->close();
 }
 
-void WatchHttp::moveTo(const io::Address& at) {
+void EndpointWatcher::moveTo(const io::Address& at) {
     at_ = at;
     watch_.heard();  // the new place has not failed yet
     connect();
 }
 
-void WatchHttp::connect() {
+void EndpointWatcher::connect() {
     if (open_.size() >= Watch::kMostOpen) makeRoom();
     const auto s = std::make_shared<Stream>();
     s->at = at_;
@@ -56,7 +56,7 @@
 }
 
 // Another is opened once all that are open to the present place are overdue; none: after a wait.
-void WatchHttp::armNext() {
+void EndpointWatcher::armNext() {
     double at = againAt_;
     for (const auto& s : open_)
         if (current(*s)) at = std::max(at, s->dueAt);
@@ -67,14 +67,14 @@
     });
 }
 
-void WatchHttp::makeRoom() {
+void EndpointWatcher::makeRoom() {
     const double now = io::nowMs();
     std::vector<Watch::Candidate> candidates;
     for (const auto& s : open_) candidates.push_back({s->openedAt, s->frames.pending(), s->dueAt > now});
     drop(open_[Watch::victim(candidates, now)]);
 }
 
-void WatchHttp::noteProgress(const StreamPtr& s, std::size_t bytes) {
+void EndpointWatcher::noteProgress(const StreamPtr& s, std::size_t bytes) {
     s->progress += bytes;
     if (s->progress < Watch::kProgressBytes || s->frames.pending() < Watch::kProgressBytes) return;
     s->progress = 0;
@@ -82,17 +82,17 @@
     armNext();
 }
 
-void WatchHttp::drop(const StreamPtr& s) {
+void EndpointWatcher::drop(const StreamPtr& s) {
     s->connection->close();
     open_.erase(std::remove(open_.begin(), open_.end(), s), open_.end());
 }
 
-void WatchHttp::tellFault(WatchFault fault, const std::string& words) {
+void EndpointWatcher::tellFault(WatchFault fault, const std::string& words) {
     ++faults_[static_cast<std::size_t>(fault)];
     fault_(fault, words);
 }
 
-void WatchHttp::failed(const StreamPtr& stream, WatchFault fault, const std::string& words) {
+void EndpointWatcher::failed(const StreamPtr& stream, WatchFault fault, const std::string& words) {
     const auto s = stream;  // may be the last to hold it
     if (std::find(open_.begin(), open_.end(), s) == open_.end()) return;
     drop(s);
@@ -102,7 +102,7 @@
     armNext();
 }
 
-void WatchHttp::onData(const StreamPtr& s, std::string_view bytes) {
+void EndpointWatcher::onData(const StreamPtr& s, std::string_view bytes) {
     using Got = wire::http::Parser::Got;
     std::string_view part;
     for (;;) switch (s->parser.next(bytes, part)) {
@@ -128,18 +128,18 @@
         }
 }
 
-bool WatchHttp::onBody(const StreamPtr& s, std::string_view part) {
-    using Got = JsonFrames::Got;
+bool EndpointWatcher::onBody(const StreamPtr& s, std::string_view part) {
+    using Event = JsonFrames::Event;
     for (;;) switch (s->frames.next(part)) {
-            case Got::More:
+            case Event::NeedMore:
                 return true;
-            case Got::Beat:
+            case Event::BlankLine:
                 spoke(s);
                 break;
-            case Got::Value: {
+            case Event::Object: {
                 Endpoints list;
                 std::string words;
-                if (!readEndpoints(s->frames.value(), list, words)) {
+                if (!parseEndpoints(s->frames.object(), list, words)) {
                     watch_.lost();
                     failed(s, WatchFault::Unreadable, "sent a list that can't be read: " + words);
                     return false;
@@ -148,7 +148,7 @@
                 spoke(s);
                 break;
             }
-            case Got::Bad:
+            case Event::Invalid:
                 watch_.lost();
                 failed(s, WatchFault::Unreadable, "sent what is no list");
                 return false;
@@ -156,7 +156,7 @@
 }
 
 // Only whole lines and whole objects count: half a line that drips for ever says nothing.
-void WatchHttp::spoke(const StreamPtr& s) {
+void EndpointWatcher::spoke(const StreamPtr& s) {
     s->wordAt = io::nowMs();
     s->dueAt = s->wordAt + Watch::kSilentMs;
     s->progress = 0;
--- a/src/registry/watch_http.hpp
+++ b/src/registry/endpoint_watcher.hpp
@@ -19,17 +19,17 @@
 
 namespace spokewheel::registry {
 
-class WatchHttp {
+class EndpointWatcher {
   public:
     using Update = std::function<void(Endpoints)>;
     using Fault = std::function<void(WatchFault fault, const std::string& words)>;
     // `heard` comes with each whole line of the list service that is followed now, the empty ones too, after
     // what the line says was given to `update`. No callback may destroy the watch.
-    WatchHttp(const io::Address& at, std::int64_t revision, std::uint64_t seed, Update update, Fault fault,
-              std::function<void()> heard);
-    ~WatchHttp();
-    WatchHttp(const WatchHttp&) = delete;
-    WatchHttp& operator=(const WatchHttp&) = delete;
+    EndpointWatcher(const io::Address& at, std::int64_t revision, std::uint64_t seed, Update update,
+                    Fault fault, std::function<void()> heard);
+    ~EndpointWatcher();
+    EndpointWatcher(const EndpointWatcher&) = delete;
+    EndpointWatcher& operator=(const EndpointWatcher&) = delete;
     // The list service is elsewhere from now on. What is open to the old place is read until the new one
     // speaks, but is not opened again.
     void moveTo(const io::Address& at);
--- a/src/registry/endpoints.cpp
+++ b/src/registry/endpoints.cpp
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-bool readEndpoints(std::string_view text, Endpoints& out, std::string& words) {
+bool parseEndpoints(std::string_view text, Endpoints& out, std::string& words) {
     try {
         const auto list = json::parse(text);
         Endpoints read;
--- a/src/registry/endpoints.hpp
+++ b/src/registry/endpoints.hpp
@@ -23,6 +23,6 @@
 };
 
 // False, with `words` for people, where the object can't be used. `words` is set for unreadable entries too.
-bool readEndpoints(std::string_view json, Endpoints& out, std::string& words);
+bool parseEndpoints(std::string_view json, Endpoints& out, std::string& words);
 
 }  // namespace spokewheel::registry
--- a/src/registry/json_frames.hpp
+++ b/src/registry/json_frames.hpp
@@ -11,26 +11,26 @@
 
 class JsonFrames {
   public:
-    enum class Got {
-        More,   // all input was taken
-        Beat,   // the end of a line outside of a value
-        Value,  // value() holds a whole object
-        Bad     // something that begins no object, or one that is too long; the stream can't be read further
+    enum class Event {
+        NeedMore,   // all input was taken
+        BlankLine,  // the end of a line outside of a value
+        Object,     // object() holds a whole object
+        Invalid  // something that begins no object, or one that is too long; the stream can't be read further
     };
     explicit JsonFrames(std::size_t most) : most_(most) {}
     // Takes from the front of `in` and tells what was found.
-    Got next(std::string_view& in) {
-        if (depth_ == 0) value_.clear();
+    Event next(std::string_view& in) {
+        if (depth_ == 0) object_.clear();
         for (std::size_t i = 0; i < in.size(); ++i) {
             const char c = in[i];
             if (depth_ == 0 && c != '{') {
                 const bool blank = c == ' ' || c == '\t' || c == '\r' || c == '\n';
                 if (blank && c != '\n') continue;
                 in.remove_prefix(i + 1);
-                return blank ? Got::Beat : Got::Bad;
+                return blank ? Event::BlankLine : Event::Invalid;
             }
-            if (value_.size() >= most_) return Got::Bad;
-            value_ += c;
+            if (object_.size() >= most_) return Event::Invalid;
+            object_ += c;
             if (quoted_) {
                 if (escaped_) escaped_ = false;
                 else if (c == '\\') escaped_ = true;
@@ -42,20 +42,20 @@
             else if (c == '}' || c == ']') --depth_;
             if (depth_ > 0) continue;
             in.remove_prefix(i + 1);
-            return Got::Value;
+            return Event::Object;
         }
         in = {};
-        return Got::More;
+        return Event::NeedMore;
     }
     // The object that was found last, until next() is called again.
-    const std::string& value() const { return value_; }
+    const std::string& object() const { return object_; }
     // Bytes of an object that has not come whole yet.
-    std::size_t pending() const { return depth_ > 0 ? value_.size() : 0; }
+    std::size_t pending() const { return depth_ > 0 ? object_.size() : 0; }
 
   private:
     std::size_t most_, depth_ = 0;
     bool quoted_ = false, escaped_ = false;
-    std::string value_;
+    std::string object_;
 };
 
 }  // namespace spokewheel::registry
--- a/src/registry/list_file.cpp
+++ b/src/registry/node_list_file.cpp
@@ -1,4 +1,4 @@
-#include "registry/list_file.hpp"
+#include "registry/node_list_file.hpp"
 
 #include <fstream>
 #include <iterator>
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-ListFile::ListFile(std::string path, Update update, Fault fault)
+NodeListFile::NodeListFile(std::string path, Update update, Fault fault)
     : path_(std::move(path)), update_(std::move(update)), fault_(std::move(fault)) {
     GFile* file = g_file_new_for_path(path_.c_str());
     monitor_ = g_file_monitor_file(file, G_FILE_MONITOR_WATCH_MOVES, nullptr, nullptr);
@@ -19,7 +19,7 @@
         g_file_monitor_set_rate_limit(monitor_, 20);
         g_signal_connect(monitor_, "changed",
                          G_CALLBACK(+[](GFileMonitor*, GFile*, GFile*, GFileMonitorEvent, gpointer self) {
-                             auto* f = static_cast<ListFile*>(self);
+                             auto* f = static_cast<NodeListFile*>(self);
                              // A writer may be half-way: the last event of a burst counts.
                              f->soon_.arm(kSettleMs, [f] { f->read(); });
                          }),
@@ -28,23 +28,23 @@
     look();
 }
 
-ListFile::~ListFile() {
+NodeListFile::~NodeListFile() {
     if (!monitor_) return;
     g_signal_handlers_disconnect_by_data(monitor_, this);
     g_file_monitor_cancel(monitor_);
     g_object_unref(monitor_);
 }
 
-void ListFile::look() {
+void NodeListFile::look() {
     read();
     timer_.arm(kLookMs, [this] { look(); });
 }
 
-void ListFile::read() {
+void NodeListFile::read() {
     std::ifstream in(path_, std::ios::binary);
     std::string text{std::istreambuf_iterator<char>(in), {}};
     if (in && text == text_) return;
-    config::Mistakes mistakes;
+    config::ConfigErrors mistakes;
     auto list = config::readNodeList(path_, mistakes);
     if (!mistakes.empty()) {
         if (text != text_ || !in) fault_(mistakes.front().text());
--- a/src/registry/list_file.hpp
+++ b/src/registry/node_list_file.hpp
@@ -13,14 +13,14 @@
 
 namespace spokewheel::registry {
 
-class ListFile {
+class NodeListFile {
   public:
     using Update = std::function<void(ListUpdate)>;
     using Fault = std::function<void(const std::string& words)>;
-    ListFile(std::string path, Update update, Fault fault);
-    ~ListFile();
-    ListFile(const ListFile&) = delete;
-    ListFile& operator=(const ListFile&) = delete;
+    NodeListFile(std::string path, Update update, Fault fault);
+    ~NodeListFile();
+    NodeListFile(const NodeListFile&) = delete;
+    NodeListFile& operator=(const NodeListFile&) = delete;
     void read();
 
   private:
--- a/src/registry/list_http.cpp
+++ b/src/registry/node_list_poller.cpp
@@ -1,4 +1,4 @@
-#include "registry/list_http.hpp"
+#include "registry/node_list_poller.hpp"
 
 #include <glib.h>
 
@@ -18,7 +18,8 @@
 
 }  // namespace
 
-std::vector<NodeEntry> changes(const std::vector<NodeEntry>& before, const std::vector<NodeEntry>& after) {
+std::vector<NodeEntry> diffNodeLists(const std::vector<NodeEntry>& before,
+                                     const std::vector<NodeEntry>& after) {
     std::map<std::string, const NodeEntry*> old;
     for (const auto& e : before) old[e.node] = &e;
     std::vector<NodeEntry> out;
@@ -34,8 +35,8 @@
     return out;
 }
 
-ListHttp::ListHttp(const io::Address& registry, std::string cacheFile, std::uint64_t seed, Update update,
-                   Fault fault, std::function<void()> heard)
+NodeListPoller::NodeListPoller(const io::Address& registry, std::string cacheFile, std::uint64_t seed,
+                               Update update, Fault fault, std::function<void()> heard)
     : registry_(registry),
       cacheFile_(std::move(cacheFile)),
       update_(std::move(update)),
@@ -43,7 +44,7 @@
       heard_(std::move(heard)),
       poll_(seed) {
     if (!cacheFile_.empty() && std::filesystem::exists(cacheFile_)) {
-        config::Mistakes mistakes;
+        config::ConfigErrors mistakes;
         auto list = config::readNodeList(cacheFile_, mistakes);
         if (mistakes.empty()) {
             known_ = list.entries;
@@ -53,15 +54,15 @@
     query();
 }
 
-ListHttp::~ListHttp() {
+NodeListPoller::~NodeListPoller() {
     if (connection_) connection_->close();
 }
 
-void ListHttp::ask() {
+void NodeListPoller::ask() {
     if (!connection_) query();
 }
 
-void ListHttp::query() {
+void NodeListPoller::query() {
     timer_.cancel();
     parser_ = wire::http::Parser(wire::http::Parser::Kind::Response, {16 * 1024, 64, kMostBody});
     body_.clear();
@@ -80,7 +81,7 @@
     timer_.arm(Poll::kWaitMs + Poll::kLateMs, [this] { failed("registry did not answer"); });
 }
 
-void ListHttp::failed(const std::string& words) {
+void NodeListPoller::failed(const std::string& words) {
     if (connection_) connection_->close();
     connection_.reset();
     fault_(words);
@@ -88,7 +89,7 @@
     timer_.arm(poll_.againMs(true), [this] { query(); });
 }
 
-void ListHttp::onData(std::string_view bytes) {
+void NodeListPoller::onData(std::string_view bytes) {
     using Got = wire::http::Parser::Got;
     std::string_view part;
     for (;;) switch (parser_.next(bytes, part)) {
@@ -106,7 +107,7 @@
         }
 }
 
-void ListHttp::onAnswer() {
+void NodeListPoller::onAnswer() {
     const auto& head = parser_.head();
     const auto* text = head.find("X-Index");
     std::uint64_t index = 0;
@@ -115,14 +116,14 @@
     if (head.status != 200 || !counted)
         return failed("registry answered with status " + std::to_string(head.status) +
                       (counted ? "" : " and no index"));
-    config::Mistakes mistakes;
+    config::ConfigErrors mistakes;
     auto list = config::parseNodeList(body_, "list of " + registry_.text(), mistakes);
     if (!mistakes.empty()) return failed(mistakes.front().text());
     connection_->close();
     connection_.reset();
     keep(body_);
     if (poll_.answered(index)) update_({ListForm::Full, list.entries});
-    else if (auto changed = changes(known_, list.entries); !changed.empty())
+    else if (auto changed = diffNodeLists(known_, list.entries); !changed.empty())
         update_({ListForm::Delta, std::move(changed)});
     known_ = std::move(list.entries);
     if (heard_) heard_();
@@ -130,7 +131,7 @@
 }
 
 // Written beside and renamed: a host that dies here finds the old list or the new one.
-void ListHttp::keep(const std::string& text) const {
+void NodeListPoller::keep(const std::string& text) const {
     if (cacheFile_.empty()) return;
     GError* error = nullptr;
     if (!g_file_set_contents(cacheFile_.c_str(), text.data(), static_cast<gssize>(text.size()), &error)) {
--- a/src/registry/list_http.hpp
+++ b/src/registry/node_list_poller.hpp
@@ -17,15 +17,15 @@
 
 namespace spokewheel::registry {
 
-class ListHttp {
+class NodeListPoller {
   public:
     using Update = std::function<void(ListUpdate)>;
     using Fault = std::function<void(const std::string& words)>;
     // `cacheFile` empty: nothing is kept. The cached list, if there is one, is told before this returns.
     // `heard` comes after each good answer of the registry, whether or not it had news.
-    ListHttp(const io::Address& registry, std::string cacheFile, std::uint64_t seed, Update update,
-             Fault fault, std::function<void()> heard = {});
-    ~ListHttp();
+    NodeListPoller(const io::Address& registry, std::string cacheFile, std::uint64_t seed, Update update,
+                   Fault fault, std::function<void()> heard = {});
+    ~NodeListPoller();
     // The module asks anew: at once where no query is out.
     void ask();
 
@@ -50,6 +50,7 @@
 };
 
 // What changed from one whole list to the next; entries that are gone come with that state.
-std::vector<NodeEntry> changes(const std::vector<NodeEntry>& before, const std::vector<NodeEntry>& after);
+std::vector<NodeEntry> diffNodeLists(const std::vector<NodeEntry>& before,
+                                     const std::vector<NodeEntry>& after);
 
 }  // namespace spokewheel::registry
--- a/src/registry/node_book.cpp
+++ b/src/registry/node_table.cpp
@@ -1,4 +1,4 @@
-#include "registry/node_book.hpp"
+#include "registry/node_table.hpp"
 
 #include <algorithm>
 #include <set>
@@ -12,23 +12,23 @@
 
 }  // namespace
 
-const std::string* NodeBook::address(const std::string& node) const {
+const std::string* NodeTable::address(const std::string& node) const {
     const auto found = nodes_.find(node);
     if (found == nodes_.end() || found->second.lifecycle == Lifecycle::Gone) return nullptr;
     return &found->second.address;
 }
 
-std::vector<std::pair<std::string, double>> NodeBook::usable() const {
+std::vector<std::pair<std::string, double>> NodeTable::usableNodes() const {
     std::vector<std::pair<std::string, double>> out;
     for (const auto& [node, known] : nodes_)
         if (known.lifecycle == Lifecycle::Ready) out.emplace_back(node, starts_.startOf(node));
     return out;
 }
 
-NodeBook::Change NodeBook::apply(Endpoints list, ListForm form, const ClockReading& clock) {
+NodeTable::Change NodeTable::apply(Endpoints list, ListForm form, const ClockReading& clock) {
     Change change;
     if (form == ListForm::Delta && list.revision <= revision_) return change;  // two watches told the same
-    change.news = true;
+    change.applied = true;
     revision_ = list.revision;
     ++version_;
     starts_.read(clock, form != ListForm::Cached);
@@ -46,7 +46,7 @@
         const auto at = list.addresses.find(e.node);
         const std::string address = at == list.addresses.end() ? "" : at->second;
         const bool moved = !known.address.empty() && known.address != address;
-        if (moved || e.lifecycle != Lifecycle::Ready || newStart) change.retire.push_back(e.node);
+        if (moved || e.lifecycle != Lifecycle::Ready || newStart) change.nodesToDisconnect.push_back(e.node);
         known = {address, e.lifecycle, toldStartMs, std::max(known.revision, list.revision)};
     }
     if (form != ListForm::Delta)
@@ -55,14 +55,14 @@
                 known.lifecycle = Lifecycle::Gone;
                 --present_;
                 known.revision = std::max(known.revision, list.revision);
-                change.retire.push_back(node);
+                change.nodesToDisconnect.push_back(node);
             }
     forgetOldest();
     change.update = {form, std::move(list.entries)};
     return change;
 }
 
-void NodeBook::forgetOldest() {
+void NodeTable::forgetOldest() {
     if (nodes_.size() - present_ <= kMostGone + kForgottenAtOnce) return;
     std::vector<std::pair<std::int64_t, std::string>> gone;
     for (const auto& [node, known] : nodes_)
--- a/src/registry/node_book.hpp
+++ b/src/registry/node_table.hpp
@@ -15,23 +15,25 @@
 
 namespace spokewheel::registry {
 
-class NodeBook {
+class NodeTable {
   public:
     struct Change {
-        bool news = false;  // false: nothing to do
+        bool applied = false;  // false: nothing to do
         ListUpdate update;
-        std::vector<std::string> retire;  // nodes to which kept connections are of no use any more
+        std::vector<std::string> nodesToDisconnect;  // nodes to which kept connections are of no use any more
     };
     // Start times come out on the monotonic clock of `clock`.
     Change apply(Endpoints list, ListForm form, const ClockReading& clock);
     // The list service spoke, with or without news: what starts from now on is younger than this.
-    void heard(const ClockReading& clock) { starts_.heard(clock); }
+    void noteContact(const ClockReading& clock) { starts_.noteContact(clock); }
     // The clocks, read while nothing is said, so that a step between two words is seen.
-    void observe(const ClockReading& clock) { starts_.observe(clock); }
+    void observeClocks(const ClockReading& clock) { starts_.observeClocks(clock); }
     // A peer says when the node came up, on the monotonic clock: apply() gives no earlier start from now on.
-    void startedNotBefore(const std::string& node, double localMs) { starts_.notBefore(node, localMs); }
+    void setEarliestStart(const std::string& node, double localMs) {
+        starts_.setEarliestStart(node, localMs);
+    }
     // The nodes that take requests, with their starts on the monotonic clock (0: long ago).
-    std::vector<std::pair<std::string, double>> usable() const;
+    std::vector<std::pair<std::string, double>> usableNodes() const;
     // Where the node listens; nullptr where it is gone or was never told.
     const std::string* address(const std::string& node) const;
     std::int64_t revision() const { return revision_; }
