--- a/apps/spokewheel.cpp
+++ b/apps/spokewheel.cpp
@@ -1,4 +1,4 @@
-// The command: subcommands for operators. Argument parsing and wiring only.
+// The command-line tool for operators. Parses arguments and runs the subcommands.
 #include <sys/stat.h>
 #include <unistd.h>
 
@@ -15,39 +15,41 @@
 namespace {
 
 int check(const std::string& file) {
-    spokewheel::config::ConfigErrors mistakes;
-    const auto settings = spokewheel::config::readSettings(file, mistakes);
-    if (mistakes.empty() && !settings.nodesFile.empty())
-        spokewheel::config::readNodeList(settings.nodesFile, mistakes);
-    for (const auto& m : mistakes) std::fprintf(stderr, "%s\n", m.text().c_str());
-    if (!mistakes.empty()) {
-        std::fprintf(stderr, "%zu mistake%s\n", mistakes.size(), mistakes.size() == 1 ? "" : "s");
+    spokewheel::config::ConfigErrors errors;
+    const auto settings = spokewheel::config::readSettings(file, errors);
+    if (errors.empty() && !settings.nodesFile.empty())
+        spokewheel::config::readNodeList(settings.nodesFile, errors);
+    for (const auto& e : errors) std::fprintf(stderr, "%s\n", e.text().c_str());
+    if (!errors.empty()) {
+        std::fprintf(stderr, "%zu error%s\n", errors.size(), errors.size() == 1 ? "" : "s");
         return 1;
     }
-    std::printf("%s: fine (%zu volumes, %zu plans, %zu classes)\n", file.c_str(), settings.volumes.size(),
+    std::printf("%s: valid (%zu volumes, %zu plans, %zu classes)\n", file.c_str(), settings.volumes.size(),
                 settings.module.plans.size(), settings.module.classes.size());
     return 0;
 }
 
-int playBadDay(const std::string& script, std::uint64_t seed, int rounds, const std::string& bin) {
-    spokewheel::config::ConfigErrors mistakes;
+int runBadDay(const std::string& script, std::uint64_t seed, int rounds, const std::string& bin) {
+    spokewheel::config::ConfigErrors errors;
     spokewheel::kit::BadDaySettings s;
     s.bin = bin;
-    s.script = spokewheel::kit::readScript(script, mistakes);
-    for (const auto& m : mistakes) std::fprintf(stderr, "%s\n", m.text().c_str());
-    if (!mistakes.empty()) return 2;
+    s.script = spokewheel::kit::readScript(script, errors);
+    for (const auto& e : errors) std::fprintf(stderr, "%s\n", e.text().c_str());
+    if (!errors.empty()) return 2;
     const auto name = "spokewheel-bad-day-" + std::to_string(getpid());
     s.directory = (std::filesystem::temp_directory_path() / name).string();
     s.seed = seed;
     s.rounds = rounds;
-    s.progress = [](const std::string& words) {
-        std::printf("  %s\n", words.c_str());
+    s.progress = [](const std::string& message) {
+        std::printf("  %s\n", message.c_str());
         std::fflush(stdout);
     };
     const auto r = spokewheel::kit::badDay(s);
     std::printf("%s", spokewheel::kit::tell(r.verdicts, r.fromUs).c_str());
-    std::printf("uploads %zu of %zu fine, downloads %zu of %zu, single reads %zu of %zu; wrong files %zu\n",
-                r.pushesFine, r.pushes, r.pullsFine, r.pulls, r.fetchesFine, r.fetches, r.halfFiles);
+    std::printf(
+        "uploads: %zu of %zu ok, downloads: %zu of %zu, single reads: %zu of %zu; files with wrong content: "
+        "%zu\n",
+        r.pushesFine, r.pushes, r.pullsFine, r.pulls, r.fetchesFine, r.fetches, r.halfFiles);
     if (!r.fault.empty()) std::printf("not judged: %s\n", r.fault.c_str());
     return r.fault.empty() && r.halfFiles == 0 && !spokewheel::kit::anyBroken(r.verdicts) ? 0 : 1;
 }
@@ -59,7 +61,7 @@
     bool push = false, filesFrom = false, relative = false, oneMix = false;
 };
 
-int playMatrix(const MatrixArguments& a, const std::string& bin) {
+int runMatrix(const MatrixArguments& a, const std::string& bin) {
     namespace kit = spokewheel::kit;
     umask(022);
     const auto directory =
@@ -71,8 +73,8 @@
     quiet.logLevel = "info";
     fleet.startHost(0, 1, quiet);
     kit::Matrix matrix(fleet, directory + "/trees");
-    const auto say = [](const std::string& words) {
-        std::printf("%s\n", words.c_str());
+    const auto print = [](const std::string& message) {
+        std::printf("%s\n", message.c_str());
         std::fflush(stdout);
     };
     if (a.oneMix) {
@@ -84,14 +86,17 @@
         if (a.relative) mix.relative = "*";
         std::istringstream parts(a.options);
         for (std::string o; std::getline(parts, o, '|');) mix.options.push_back(o);
-        bool table = false, hung = false;
-        const auto words = matrix.play(mix, table, hung);
-        say(!words.empty() ? "differs: " + words : table ? "differs as the table says" : "the same");
-        return words.empty() ? 0 : 1;
+        bool known = false, hung = false;
+        const auto difference = matrix.play(mix, known, hung);
+        print(!difference.empty() ? "differs: " + difference
+              : known             ? "differs as listed in the table of known differences"
+                                  : "same result");
+        return difference.empty() ? 0 : 1;
     }
-    const auto r = matrix.run(a.seed, a.rounds, say);
-    std::printf("tried %zu: same %zu, different by the table %zu, different %zu, hung %zu\n", r.tried, r.same,
-                r.byTable, r.differences.size(), r.hung);
+    const auto r = matrix.run(a.seed, a.rounds, print);
+    std::printf(
+        "run: %zu, same result: %zu, known differences: %zu, unexpected differences: %zu, hung: %zu\n",
+        r.tried, r.same, r.byTable, r.differences.size(), r.hung);
     return r.differences.empty() ? 0 : 1;
 }
 
@@ -102,33 +107,36 @@
     app.set_version_flag("--version", SPOKEWHEEL_VERSION);
     app.require_subcommand(1);
     std::string file;
-    auto* checking = app.add_subcommand("check", "reads settings and the node list, and tells every mistake");
-    checking->add_option("file", file, "settings (YAML)")->required();
+    auto* checkCommand =
+        app.add_subcommand("check", "checks the settings and the node list and reports all errors");
+    checkCommand->add_option("file", file, "settings (YAML)")->required();
     std::uint64_t seed = 1;
     int rounds = 1;
-    auto* badDay = app.add_subcommand("bad-day", "plays a script on a fleet and judges it by the traffic");
+    auto* badDay = app.add_subcommand(
+        "bad-day", "runs a fault script against a fleet and evaluates the recorded traffic");
     std::string script;
-    badDay->add_option("script", script, "what happens (YAML; kit/scripts has some)")->required();
+    badDay->add_option("script", script, "fault script (YAML; see kit/scripts)")->required();
     badDay->add_option("--seed", seed);
-    badDay->add_option("--rounds", rounds, "how often the script is played")->check(CLI::Range(1, 100));
+    badDay->add_option("--rounds", rounds, "how often to run the script")->check(CLI::Range(1, 100));
     MatrixArguments m;
     auto* matrix = app.add_subcommand(
-        "matrix", "seeded mixes of the stock client's options against the same client from folder to folder");
+        "matrix", "compares random option mixes of the rsync client through the gateway with local copies");
     matrix->add_option("--seed", m.seed);
-    matrix->add_option("--rounds", m.rounds, "how many mixes")
+    matrix->add_option("--rounds", m.rounds, "number of mixes")
         ->default_val(200)
         ->check(CLI::Range(1, 100000));
-    auto* options = matrix->add_option("--options", m.options, "one mix alone: options parted by '|'");
-    matrix->add_option("--entries", m.entries, "of one mix: most entries of the tree")->default_val(24);
-    matrix->add_flag("--push,!--pull", m.push, "of one mix: the way");
-    matrix->add_flag("--files-from", m.filesFrom, "of one mix");
-    matrix->add_flag("--relative", m.relative, "of one mix");
+    auto* options = matrix->add_option("--options", m.options, "run only this mix: options separated by '|'");
+    matrix->add_option("--entries", m.entries, "single mix: maximum number of entries in the tree")
+        ->default_val(24);
+    matrix->add_flag("--push,!--pull", m.push, "single mix: direction");
+    matrix->add_flag("--files-from", m.filesFrom, "single mix");
+    matrix->add_flag("--relative", m.relative, "single mix");
     CLI11_PARSE(app, argc, argv);
     m.oneMix = !options->empty();
-    if (*checking) return check(file);
+    if (*checkCommand) return check(file);
     try {
         const auto bin = std::filesystem::read_symlink("/proc/self/exe").parent_path().string();
-        return *matrix ? playMatrix(m, bin) : playBadDay(script, seed, rounds, bin);
+        return *matrix ? runMatrix(m, bin) : runBadDay(script, seed, rounds, bin);
     } catch (const std::exception& e) {
         std::fprintf(stderr, "spokewheel: %s\n", e.what());
         return 1;
--- a/apps/spokewheeld.cpp
+++ b/apps/spokewheeld.cpp
@@ -1,4 +1,4 @@
-// The daemon: one gateway host, or one scheduler of the platform. Argument parsing and wiring only.
+// The daemon: runs one gateway host, or one scheduler of the platform. Parses arguments only.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <cstdio>
@@ -20,7 +20,7 @@
 int runPlatform() {
     spokewheel::io::Loop loop;
     std::unique_ptr<spokewheel::platform::PlatformDaemon> daemon;
-    // First, so that one that comes during the start is kept for the loop and doesn't end the process.
+    // Installed first, so that a signal during start-up is queued for the loop instead of ending the process.
     loop.onSignal(SIGTERM, [&daemon] { daemon->stop(); });
     loop.onSignal(SIGINT, [&daemon] { daemon->stop(); });
     loop.onSignal(SIGHUP, [&daemon] { daemon->reload(); });
@@ -40,7 +40,7 @@
     std::string file;
     bool platform = false;
     auto* config = app.add_option("--config", file, "settings (YAML)");
-    app.add_flag("--platform", platform, "a scheduler of the platform, told what it is by LB_CONFIG")
+    app.add_flag("--platform", platform, "run as a scheduler of the platform, configured by LB_CONFIG")
         ->excludes(config);
     app.set_version_flag("--version", SPOKEWHEEL_VERSION);
     CLI11_PARSE(app, argc, argv);
@@ -53,13 +53,13 @@
             return 2;
         }
     if (file.empty()) {
-        std::fprintf(stderr, "spokewheeld: --config FILE or --platform is wanted\n");
+        std::fprintf(stderr, "spokewheeld: either --config FILE or --platform is required\n");
         return 2;
     }
-    spokewheel::config::ConfigErrors mistakes;
-    auto settings = spokewheel::config::readSettings(file, mistakes);
-    for (const auto& m : mistakes) std::fprintf(stderr, "%s\n", m.text().c_str());
-    if (!mistakes.empty()) return 2;
+    spokewheel::config::ConfigErrors errors;
+    auto settings = spokewheel::config::readSettings(file, errors);
+    for (const auto& e : errors) std::fprintf(stderr, "%s\n", e.text().c_str());
+    if (!errors.empty()) return 2;
     try {
         spokewheel::io::Loop loop;
         spokewheel::Daemon daemon(std::move(settings), loop);
--- a/src/config/checker.hpp
+++ b/src/config/checker.hpp
@@ -1,5 +1,5 @@
-// Reads YAML with every mistake told: file, line, key, what is there and what is allowed. Nothing is used
-// before all of it has been checked.
+// Reads YAML and collects every error with its file, line and key, what was given and what is allowed.
+// Callers use the values only if there are no errors.
 #pragma once
 
 #include <yaml-cpp/yaml.h>
@@ -15,58 +15,64 @@
 
 struct ConfigError {
     std::string file;
-    int line = 0;  // 1 is the first; 0: the file as a whole
-    std::string key, words;
+    int line = 0;  // counted from 1; 0: the file as a whole
+    std::string key, message;
     std::string text() const;
 };
 using ConfigErrors = std::vector<ConfigError>;
 
-// One mapping of the file. Each get() takes a key; rejectUnknownKeys() complains of those that nobody took.
+// One mapping of the file. The getters add an error and return `defaultValue` if the value is not valid; a
+// missing value is an error only if `required`. Each getter marks its key as known; rejectUnknownKeys() adds
+// an error for every other key.
 class Section {
   public:
-    Section(YAML::Node node, std::string path, std::string file, ConfigErrors& mistakes);
+    Section(YAML::Node node, std::string path, std::string file, ConfigErrors& errors);
     Section(Section&&) = default;
 
     bool has(const std::string& key) const;
-    std::string text(const std::string& key, bool required, const std::string& absent = "");
-    double number(const std::string& key, double absent, double least, double most, bool required = false);
-    std::int64_t integer(const std::string& key, std::int64_t absent, std::int64_t least, std::int64_t most,
-                         bool required = false);
-    // A whole number with an optional KiB, MiB or GiB behind it.
-    std::uint64_t bytes(const std::string& key, std::uint64_t absent, std::uint64_t least,
-                        std::uint64_t most);
-    bool boolean(const std::string& key, bool absent);
+    std::string text(const std::string& key, bool required, const std::string& defaultValue = "");
+    double number(const std::string& key, double defaultValue, double min, double max, bool required = false);
+    std::int64_t integer(const std::string& key, std::int64_t defaultValue, std::int64_t min,
+                         std::int64_t max, bool required = false);
+    // An integer with an optional unit: B, KiB, MiB or GiB.
+    std::uint64_t bytes(const std::string& key, std::uint64_t defaultValue, std::uint64_t min,
+                        std::uint64_t max);
+    bool boolean(const std::string& key, bool defaultValue);
+    // One of the keys of `choices`, converted to its value.
     template <class T>
-    T choice(const std::string& key, T absent, const std::map<std::string, T>& words, bool required = false) {
+    T choice(const std::string& key, T defaultValue, const std::map<std::string, T>& choices,
+             bool required = false) {
         const auto given = text(key, required);
-        if (given.empty()) return absent;
-        const auto found = words.find(given);
-        if (found != words.end()) return found->second;
+        if (given.empty()) return defaultValue;
+        const auto found = choices.find(given);
+        if (found != choices.end()) return found->second;
         std::string allowed;
-        for (const auto& [w, value] : words) allowed += (allowed.empty() ? "" : ", ") + w;
+        for (const auto& [name, value] : choices) allowed += (allowed.empty() ? "" : ", ") + name;
         addError(key, "'" + given + "' is not one of: " + allowed);
-        return absent;
+        return defaultValue;
     }
-    // A mapping under the key; an absent one reads as empty.
+    // A nested mapping; empty if it is missing.
     Section section(const std::string& key, bool required = false);
-    // Each mapping of a list under the key.
-    void forEach(const std::string& key, bool required, const std::function<void(Section&)>& read);
+    // Calls `readEntry` for each mapping of a list, and rejectUnknownKeys() on it afterwards.
+    void forEach(const std::string& key, bool required, const std::function<void(Section&)>& readEntry);
     std::vector<std::string> textList(const std::string& key);
-    void addError(const std::string& key, const std::string& words);
+    void addError(const std::string& key, const std::string& message);
     void rejectUnknownKeys();
+    // The line of the key, or of the mapping if the key is missing.
     int line(const std::string& key) const;
 
   private:
-    YAML::Node take(const std::string& key, bool required);
-    std::string at(const std::string& key) const;
+    YAML::Node child(const std::string& key, bool required);
+    std::string pathOf(const std::string& key) const;
     YAML::Node node_;
     std::string path_, file_;
-    ConfigErrors* mistakes_;
-    std::set<std::string> taken_;
+    ConfigErrors* errors_;
+    std::set<std::string> knownKeys_;
 };
 
-// The top mapping of a file, or mistakes that say why it can't be read.
-Section parseYaml(const std::string& text, const std::string& source, ConfigErrors& mistakes);
-Section loadYamlFile(const std::string& file, ConfigErrors& mistakes);
+// The top mapping of a YAML text or file; empty, with an error added, if it cannot be read. `source` names
+// the text in errors.
+Section parseYaml(const std::string& text, const std::string& source, ConfigErrors& errors);
+Section loadYamlFile(const std::string& file, ConfigErrors& errors);
 
 }  // namespace spokewheel::config
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,4 +1,4 @@
-// The settings of one daemon, checked. Units are in the names; docs/operators.md tells each key.
+// The checked settings of a gateway daemon. Units are in the names; docs/operators.md describes each key.
 #pragma once
 
 #include <cstdint>
@@ -16,18 +16,18 @@
     std::int64_t number = 0;
     int hosts = 1;
     std::string secretsFile;                     // empty: no authentication
-    std::map<std::string, std::string> secrets;  // user to password, read from the file
-    std::size_t connections = 0;                 // at most at one host; 0: no cap of its own
-    bool readOnly = false, listed = true;
+    std::map<std::string, std::string> secrets;  // password by user, read from secretsFile
+    std::size_t connections = 0;                 // per host; 0: no limit for this volume
+    bool readOnly = false, listed = true;  // listed: shown in the list of modules that clients can request
 };
 struct PeerSettings {
     int rank = 0;
     std::string address;
 };
 struct DaemonSettings {
-    Settings module;
+    Settings module;  // of the scheduler
     std::string listenRsync, listenPeers;
-    std::string nodesFile, nodesHttp;  // one of them
+    std::string nodesFile, nodesHttp;  // exactly one is set
     std::string stateDir;
     std::string peerKey;  // read from the key file
     std::vector<PeerSettings> peers;
@@ -44,17 +44,16 @@
     const VolumeSettings* volume(const std::string& name) const;
 };
 
-// Reads and checks all of it, the files it names included. Where `mistakes` is not empty afterwards, the
-// result must not be used.
-DaemonSettings readSettings(const std::string& file, ConfigErrors& mistakes);
+// Reads and checks the settings and the secret files that they name. The result must not be used if `errors`
+// is not empty afterwards.
+DaemonSettings readSettings(const std::string& file, ConfigErrors& errors);
 
-// A node list: version and entries.
 struct NodeList {
     std::uint64_t version = 0;
     std::vector<NodeEntry> entries;
 };
-// The same from text; `source` stands for the file in what is told of mistakes.
-NodeList parseNodeList(const std::string& text, const std::string& source, ConfigErrors& mistakes);
-NodeList readNodeList(const std::string& file, ConfigErrors& mistakes);
+// Parse a node list from a text or file; `source` names the text in errors.
+NodeList parseNodeList(const std::string& text, const std::string& source, ConfigErrors& errors);
+NodeList readNodeList(const std::string& file, ConfigErrors& errors);
 
 }  // namespace spokewheel::config
