--- a/apps/spokewheel.cpp
+++ b/apps/spokewheel.cpp
@@ -68,7 +68,7 @@
         (std::filesystem::temp_directory_path() / ("spokewheel-matrix-" + std::to_string(getpid()))).string();
     kit::Fleet fleet(bin, directory);
     for (int n = 0; n < 3; ++n) fleet.startNode(n, {n, {}});
-    fleet.writeList();
+    fleet.writeNodeList();
     kit::HostOptions quiet;
     quiet.logLevel = "info";
     fleet.startHost(0, 1, quiet);
--- a/bench/deltas.cpp
+++ b/bench/deltas.cpp
@@ -24,7 +24,7 @@
     {
         Fleet fleet(bin, (directory / "fleet").string());
         fleet.startNode(0, {});
-        fleet.writeList();
+        fleet.writeNodeList();
         fleet.startHost(0);
         std::mt19937 random(1);
         std::string noise(9000001, '\0'), lines;
--- a/bench/gateway_path.cpp
+++ b/bench/gateway_path.cpp
@@ -63,7 +63,7 @@
 // The objects that lie on the one node, from its record.
 std::vector<std::string> stored(const Fleet& fleet, const std::string& kind) {
     std::vector<std::string> out;
-    std::istringstream in(readFile(fleet.traceOf(0)));
+    std::istringstream in(readFile(fleet.tracePath(0)));
     for (std::string line; std::getline(in, line);) {
         const auto at = line.find("\"target\":\"/maps/" + kind);
         if (at == line.npos || line.find("\"execute\",\"method\":\"PUT\"") == line.npos) continue;
@@ -76,7 +76,7 @@
            int clients, int each) {
     Fleet fleet(bin, work + "/fleet");
     fleet.startNode(0);
-    fleet.writeList();
+    fleet.writeNodeList();
     HostOptions o;
     o.volumes = "\n  - {name: maps, number: 1, plan: open}\n";
     o.logLevel = "info";
@@ -129,7 +129,7 @@
 void tree(const std::string& bin, const std::string& work) {
     Fleet fleet(bin, work + "/fleet");
     for (int n = 0; n < 3; ++n) fleet.startNode(n, {n, {}});
-    fleet.writeList();
+    fleet.writeNodeList();
     fleet.startHost(0);
     for (int i = 0; i < 10000; ++i) {
         const auto dir = work + "/up/d" + std::to_string(i / 100);
--- a/bench/hostile.cpp
+++ b/bench/hostile.cpp
@@ -98,7 +98,7 @@
     {
         Fleet fleet(bin, (directory / "fleet").string());
         fleet.startNode(0, {});
-        fleet.writeList();
+        fleet.writeNodeList();
         fleet.startHost(0);
         for (int i = 0; i < 200; ++i) {
             fs::create_directories(directory / "up");
--- a/bench/sizes.cpp
+++ b/bench/sizes.cpp
@@ -24,7 +24,7 @@
     };
     const double up = timed({"-rt", work + "/up/", fleet.url(0, "maps/")});
     const double down = timed({"-rt", fleet.url(0, "maps/"), work + "/down/"});
-    const bool same = run({"diff", "-r", work + "/up", work + "/down"}, 250).status == 0;
+    const bool same = runCommand({"diff", "-r", work + "/up", work + "/down"}, 250).status == 0;
     const long peak = fleet.residentPeakKiB(0);
     std::printf("%s: up %.1f s, down %.1f s, %s, peak memory %ld KiB\n", what, up, down,
                 same ? "the same" : "NOT the same", peak);
@@ -42,7 +42,7 @@
     for (const bool large : {true, false}) {
         Fleet fleet(bin, work + "/fleet");
         for (int n = 0; n < 3; ++n) fleet.startNode(n, {n, {}});
-        fleet.writeList();
+        fleet.writeNodeList();
         HostOptions o;
         o.logLevel = "info";
         fleet.startHost(0, 1, o);
--- a/cmake/Gateway.cmake
+++ b/cmake/Gateway.cmake
@@ -73,7 +73,7 @@
 endfunction()
 spokewheel_program(spokewheeld apps/spokewheeld.cpp sw_daemon sw_platform)
 spokewheel_layer(kit DIRS kit
-  SOURCES kit/process.cpp kit/fleet.cpp kit/judge.cpp kit/rsync_client.cpp kit/bad_day.cpp kit/script.cpp kit/matrix.cpp
+  SOURCES kit/process.cpp kit/fleet.cpp kit/trace_checker.cpp kit/rsync_client.cpp kit/bad_day.cpp kit/script.cpp kit/matrix.cpp
   LINKS sw_wire_rsync sw_config)
 spokewheel_program(spokewheel-cli apps/spokewheel.cpp sw_config sw_kit)
 set_target_properties(spokewheel-cli PROPERTIES OUTPUT_NAME spokewheel)
--- a/kit/bad_day.cpp
+++ b/kit/bad_day.cpp
@@ -53,7 +53,7 @@
     void say(const std::string& words) {
         if (s_.progress) s_.progress(words);
     }
-    void note(Record r) {
+    void note(TraceRecord r) {
         const std::lock_guard lock(mutex_);
         records_.push_back(std::move(r));
     }
@@ -63,8 +63,8 @@
                                  {"--base-ms", std::to_string(s_.script.workMs), "--cores", "2", "--queue",
                                   "32", "--cold-ms", "2000"}});
         if (s_.script.registry) fleet_.startRegistry();
-        fleet_.writeList();
-        fleet_.losePeerMessages(s_.script.hosts, s_.seed, 0);
+        fleet_.writeNodeList();
+        fleet_.setPeerMessageLoss(s_.script.hosts, s_.seed, 0);
         HostOptions o;
         o.classes =
             "\n  - {name: view, effect: repeatable, aim-ms: 300, deadline-ms: 2000, points: 2}"
@@ -135,8 +135,8 @@
                 if (!client.ready()) throw std::runtime_error("not served");
                 for (std::size_t i = 0; i < client.files().size() && i < 30 && !stopping_; ++i) {
                     if (!client.files()[i].isFile()) continue;
-                    Record took;
-                    took.kind = Record::Kind::Took;
+                    TraceRecord took;
+                    took.kind = TraceRecord::Kind::Took;
                     took.host = std::to_string(r);
                     took.request =
                         "client" + std::to_string(r) + "-" + std::to_string(n) + "-" + std::to_string(i);
@@ -146,12 +146,12 @@
                     note(took);
                     ++fetches_;
                     ++steps_;
-                    if (f.end == RsyncClient::Fetched::End::Lost)
+                    if (f.outcome == RsyncClient::FetchResult::Outcome::ConnectionLost)
                         break;  // no end: judged with the host's death
-                    took.kind = Record::Kind::Ended;
+                    took.kind = TraceRecord::Kind::Ended;
                     took.us = f.endedUs;
                     note(took);
-                    const bool fine = f.end == RsyncClient::Fetched::End::Content;
+                    const bool fine = f.outcome == RsyncClient::FetchResult::Outcome::Content;
                     fetchesFine_ += fine;
                     if (fine && f.content != contentOf(client.files()[i].name)) ++halfFiles_;
                 }
@@ -170,13 +170,13 @@
     // the list is written (`fromUs`, where something before that already lets it be seen), as leaving from
     // after it: neither says that a host knew what it could not.
     void relist(std::int64_t fromUs = monotonicUs()) {
-        fleet_.writeList(states_);
+        fleet_.writeNodeList(states_);
         const auto writtenUs = monotonicUs();
         for (int n = 0; n < s_.script.nodes; ++n) {
             const auto s = states_.find(n);
             const bool ready = s == states_.end();
-            Record r;
-            r.kind = Record::Kind::Listed;
+            TraceRecord r;
+            r.kind = TraceRecord::Kind::Listed;
             // Told when it left the registry, which may be later than it was written there.
             r.us = (ready ? fromUs : writtenUs) + static_cast<std::int64_t>(1000 * behindMs_);
             r.node = fleet_.nodeAddress(n);
@@ -200,22 +200,22 @@
     void play(const Step& step, int whom) {
         switch (step.deed) {
             case Deed::Silence:
-                fleet_.control(whom, "/faults?silent=1");
+                fleet_.controlNode(whom, "/faults?silent=1");
                 break;
             case Deed::Deafen:
-                fleet_.control(whom, "/faults?deaf=1");
+                fleet_.controlNode(whom, "/faults?deaf=1");
                 break;
             case Deed::HalfOpen:
-                fleet_.control(whom, "/faults?half-open=1");
+                fleet_.controlNode(whom, "/faults?half-open=1");
                 break;
             case Deed::Refuse:
-                fleet_.control(whom, "/faults?refuse=1");
+                fleet_.controlNode(whom, "/faults?refuse=1");
                 break;
             case Deed::Slow:
-                fleet_.control(whom, "/faults?slow=" + std::to_string(step.by));
+                fleet_.controlNode(whom, "/faults?slow=" + std::to_string(step.by));
                 break;
             case Deed::Clear:
-                fleet_.control(whom, "/clear");
+                fleet_.controlNode(whom, "/clear");
                 break;
             case Deed::Drain:
                 states_[whom] = "draining";
@@ -235,8 +235,8 @@
                 relist();
                 break;
             case Deed::KillHost: {
-                Record killed;
-                killed.kind = Record::Kind::Killed;
+                TraceRecord killed;
+                killed.kind = TraceRecord::Kind::Killed;
                 killed.host = std::to_string(whom);
                 fleet_.killHost(whom);
                 killed.us = monotonicUs();
@@ -247,7 +247,7 @@
                 fleet_.startHost(whom, s_.script.hosts, options_);
                 break;
             case Deed::LoseMessages:
-                fleet_.losePeerMessages(s_.script.hosts, s_.seed, step.by);
+                fleet_.setPeerMessageLoss(s_.script.hosts, s_.seed, step.by);
                 break;
             case Deed::Burst:
                 for (int i = 0; i < static_cast<int>(step.by); ++i)
@@ -282,7 +282,7 @@
     void collect() {
         for (int n = 0; n < s_.script.nodes; ++n) {
             fleet_.killNode(n, true);
-            auto trace = parseTrace(readFile(fleet_.traceOf(n)));
+            auto trace = parseTrace(readFile(fleet_.tracePath(n)));
             if (!trace.fault.empty() && result_.fault.empty())
                 result_.fault = "record of node " + std::to_string(n) + ": " + trace.fault;
             records_.insert(records_.end(), trace.records.begin(), trace.records.end());
@@ -290,12 +290,12 @@
         result_.pushes = pushes_, result_.pushesFine = pushesFine_, result_.pulls = pulls_;
         result_.pullsFine = pullsFine_, result_.fetches = fetches_, result_.fetchesFine = fetchesFine_;
         result_.halfFiles = halfFiles_;
-        RuleFigures f;
+        RuleParameters f;
         f.classes = {{"view", {false, false}}, {"upload", {true, true}}};
         f.volumes = {{1, {}}, {2, {100, 400, 8}}};
         f.coldMs = 2000, f.coldUnits = 16, f.nodeUnitsPerS = kNodeUnitsPerS;
         f.extraFloor = 3, f.extraShare = 0.1, f.extraSpanMs = 5000;
-        result_.verdicts = judge(std::move(records_), f);
+        result_.verdicts = checkRules(std::move(records_), f);
     }
 
     BadDaySettings s_;
@@ -306,7 +306,7 @@
     std::vector<std::thread> burst_;
     double behindMs_ = 0;
     std::mutex mutex_;
-    std::vector<Record> records_;
+    std::vector<TraceRecord> records_;
     std::atomic<bool> stopping_{false}, calm_{false};
     std::atomic<std::size_t> steps_{0}, pushes_{0}, pushesFine_{0}, pulls_{0}, pullsFine_{0}, fetches_{0},
         fetchesFine_{0}, halfFiles_{0};
--- a/kit/bad_day.hpp
+++ b/kit/bad_day.hpp
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "kit/judge.hpp"
 #include "kit/script.hpp"
+#include "kit/trace_checker.hpp"
 
 namespace spokewheel::kit {
 
@@ -21,7 +21,7 @@
     std::function<void(const std::string&)> progress;
 };
 struct BadDayResult {
-    std::vector<Verdict> verdicts;
+    std::vector<RuleResult> verdicts;
     std::string fault;  // why it could not be judged; empty where it was
     std::int64_t fromUs = 0;
     std::size_t pushes = 0, pushesFine = 0, pulls = 0, pullsFine = 0, fetches = 0, fetchesFine = 0;
--- a/kit/fleet.cpp
+++ b/kit/fleet.cpp
@@ -85,7 +85,7 @@
     }
 };
 
-void Fleet::losePeerMessages(int hosts, std::uint64_t seed, double share) {
+void Fleet::setPeerMessageLoss(int hosts, std::uint64_t seed, double share) {
     if (!relay_) {
         relay_ = std::make_unique<Relay>(seed);
         for (int r = 0; r < hosts; ++r) {
@@ -134,7 +134,7 @@
                                         "--data",
                                         name,
                                         "--trace",
-                                        traceOf(n),
+                                        tracePath(n),
                                         "--port-file",
                                         name + ".port"};
     if (again) command.insert(command.end(), {"--listen", "127.0.0.1:" + std::to_string(node.port)});
@@ -161,10 +161,10 @@
     std::istringstream(readFile(name + ".port")) >> registry_.port >> registry_.controlPort;
 }
 
-bool Fleet::control(int n, const std::string& target) {
+bool Fleet::controlNode(int n, const std::string& target) {
     return http(nodes_.at(n).controlPort, "POST", target).first == 200;
 }
-long Fleet::count(int n, const std::string& what) {
+long Fleet::nodeCounter(int n, const std::string& what) {
     std::istringstream in(http(nodes_.at(n).controlPort, "GET", "/counts").second);
     std::string name;
     long value = 0;
@@ -172,8 +172,8 @@
         if (name == what) return value;
     return -1;
 }
-std::size_t Fleet::traced(int n, const std::vector<std::string>& words) const {
-    std::istringstream in(readFile(traceOf(n)));
+std::size_t Fleet::countTraceLines(int n, const std::vector<std::string>& words) const {
+    std::istringstream in(readFile(tracePath(n)));
     std::size_t count = 0;
     for (std::string line; std::getline(in, line);) {
         bool all = true;
@@ -182,13 +182,13 @@
     }
     return count;
 }
-std::size_t Fleet::tracedAll(const std::vector<std::string>& words) const {
+std::size_t Fleet::countTraceLinesOfAllNodes(const std::vector<std::string>& words) const {
     std::size_t sum = 0;
-    for (const auto& [n, node] : nodes_) sum += traced(n, words);
+    for (const auto& [n, node] : nodes_) sum += countTraceLines(n, words);
     return sum;
 }
 
-void Fleet::writeList(const std::map<int, std::string>& states) {
+void Fleet::writeNodeList(const std::map<int, std::string>& states) {
     std::string text = "version: " + std::to_string(++listVersion_) + "\nnodes:\n";
     for (const auto& [n, node] : nodes_) {
         const auto state = states.find(n);
@@ -233,16 +233,16 @@
             options.extra;
     const auto file = directory_ + "/host" + std::to_string(rank) + ".yaml";
     writeFile(file, text);
-    std::filesystem::remove(logOf(rank));
-    host.process = Process({bin_ + "/spokewheeld", "--config", file}, logOf(rank) + ".out");
+    std::filesystem::remove(logPath(rank));
+    host.process = Process({bin_ + "/spokewheeld", "--config", file}, logPath(rank) + ".out");
     const std::string mark = "\"rsync_port\":\"";
     std::string log;
     waitUntil(20, [&] {
-        log = readFile(logOf(rank));
+        log = readFile(logPath(rank));
         return log.find(mark) != log.npos || !host.process.running();
     });
     const auto at = log.find(mark);
-    if (at == log.npos) throw std::runtime_error("host did not start: " + readFile(logOf(rank) + ".out"));
+    if (at == log.npos) throw std::runtime_error("host did not start: " + readFile(logPath(rank) + ".out"));
     host.port = std::atoi(log.c_str() + at + mark.size());
 }
 
@@ -259,9 +259,9 @@
         if (line.rfind("VmHWM:", 0) == 0) return std::atol(line.c_str() + 6);
     return -1;
 }
-Run Fleet::rsync(std::vector<std::string> arguments, double seconds) const {
+CommandResult Fleet::rsync(std::vector<std::string> arguments, double seconds) const {
     arguments.insert(arguments.begin(), "rsync");
-    return run(arguments, seconds);
+    return runCommand(arguments, seconds);
 }
 
 }  // namespace spokewheel::kit
--- a/kit/fleet.hpp
+++ b/kit/fleet.hpp
@@ -30,12 +30,12 @@
     void killNode(int n, bool inOrder = false);
     int nodePort(int n) const { return nodes_.at(n).port; }
     std::string nodeAddress(int n) const { return "127.0.0.1:" + std::to_string(nodePort(n)); }
-    bool control(int n, const std::string& target);  // POST to the node's control port
-    long count(int n, const std::string& what);      // of its counts
-    std::string traceOf(int n) const { return directory_ + "/node" + std::to_string(n) + ".trace"; }
+    bool controlNode(int n, const std::string& target);  // POST to the node's control port
+    long nodeCounter(int n, const std::string& what);    // of its counts
+    std::string tracePath(int n) const { return directory_ + "/node" + std::to_string(n) + ".trace"; }
     // Lines of the node's trace that hold all of the words.
-    std::size_t traced(int n, const std::vector<std::string>& words) const;
-    std::size_t tracedAll(const std::vector<std::string>& words) const;
+    std::size_t countTraceLines(int n, const std::vector<std::string>& words) const;
+    std::size_t countTraceLinesOfAllNodes(const std::vector<std::string>& words) const;
     // From then on hosts are started with the list over HTTP and a state directory of their own.
     void startRegistry();
     void killRegistry() { registry_.process.kill(); }
@@ -43,19 +43,19 @@
         return http(registry_.controlPort, "POST", target).first == 200;
     }
     // Writes the list; states other than "ready" by node number. Nodes not started are left out.
-    void writeList(const std::map<int, std::string>& states = {});
+    void writeNodeList(const std::map<int, std::string>& states = {});
 
     // Puts a relay between the hosts that loses this share of their messages, by seed. Before the first host.
-    void losePeerMessages(int hosts, std::uint64_t seed, double share);
+    void setPeerMessageLoss(int hosts, std::uint64_t seed, double share);
     void startHost(int rank, int hosts = 1, const HostOptions& options = {});
     void killHost(int rank) { hosts_.at(rank).process.kill(); }
     int stopHost(int rank, double seconds = 15);
     Process& host(int rank) { return hosts_.at(rank).process; }
     int rsyncPort(int rank) const { return hosts_.at(rank).port; }
-    std::string logOf(int rank) const { return directory_ + "/host" + std::to_string(rank) + ".log"; }
+    std::string logPath(int rank) const { return directory_ + "/host" + std::to_string(rank) + ".log"; }
     std::string url(int rank, const std::string& path) const;
     long residentPeakKiB(int rank) const;
-    Run rsync(std::vector<std::string> arguments, double seconds = 30) const;
+    CommandResult rsync(std::vector<std::string> arguments, double seconds = 30) const;
     const std::string& directory() const { return directory_; }
 
   private:
--- a/kit/matrix.cpp
+++ b/kit/matrix.cpp
@@ -339,7 +339,7 @@
     } clean{at};
     const auto rsync = [](std::vector<std::string> a) {
         a.insert(a.begin(), "rsync");
-        return kit::run(a, kSeconds);
+        return runCommand(a, kSeconds);
     };
     std::string part;
     if (!mix.relative.empty())
@@ -373,7 +373,7 @@
     const auto put = rsync({"-a", at + (mix.push ? "/got/" : "/source/"), url});
     if (put.status != 0)
         return "the first upload ended with " + std::to_string(put.status) + "\n" + put.output;
-    kit::Run run;
+    CommandResult run;
     if (mix.push) {
         run = rsync(with({at + "/source/" + part, url}));
         fs::remove_all(at + "/got");
--- a/kit/process.cpp
+++ b/kit/process.cpp
@@ -88,11 +88,11 @@
     return true;
 }
 
-Run run(const std::vector<std::string>& command, double seconds) {
+CommandResult runCommand(const std::vector<std::string>& command, double seconds) {
     char name[] = "/tmp/spokewheel-run-XXXXXX";
     const int fd = mkstemp(name);
     if (fd >= 0) close(fd);
-    Run out;
+    CommandResult out;
     {
         Process p(command, name);
         out.status = p.wait(seconds);
@@ -150,7 +150,7 @@
     out.resize(at);
     return out;
 }
-bool Socket::ends() {
+bool Socket::waitForClose() {
     char buffer[4096];
     ssize_t n = 1;
     while (n > 0) n = recv(fd_, buffer, sizeof buffer, 0);
--- a/kit/process.hpp
+++ b/kit/process.hpp
@@ -34,11 +34,11 @@
 // Tries until it is true; false after the time. The only way in which tests wait.
 bool waitUntil(double seconds, const std::function<bool()>& condition);
 
-struct Run {
+struct CommandResult {
     int status = -1;
     std::string output;
 };
-Run run(const std::vector<std::string>& command, double seconds);
+CommandResult runCommand(const std::vector<std::string>& command, double seconds);
 
 std::string readFile(const std::string& path);
 void writeFile(const std::string& path, const std::string& text, int mode = 0644);  // whole or not at all
@@ -55,7 +55,7 @@
     std::string readSome(std::size_t most);  // what is there; empty at the end
     std::string readLine();                  // without its end
     std::string readAll(std::size_t most = 1 << 20);
-    bool ends();  // reads on until the other side ends; false where it does not in time
+    bool waitForClose();  // reads on until the other side ends; false where it does not in time
     void shutdownWrite();
 
   private:
--- a/kit/rsync_client.cpp
+++ b/kit/rsync_client.cpp
@@ -54,8 +54,8 @@
     return !bytes.empty() && demux_.feed(bytes, in_, beside_);
 }
 
-RsyncClient::Fetched RsyncClient::fetch(std::int32_t index) {
-    Fetched f;
+RsyncClient::FetchResult RsyncClient::fetch(std::int32_t index) {
+    FetchResult f;
     std::string ask, frame;
     out_.put(ask, index);
     putU16(ask, 0x8000);
@@ -63,18 +63,18 @@
     putFrame(frame, Message::Data, ask);
     f.content.reserve(list_[static_cast<std::size_t>(index)].size);
     f.askedUs = monotonicUs();
-    const auto end = [&](Fetched::End how) {
-        f.end = how;
+    const auto end = [&](FetchResult::Outcome how) {
+        f.outcome = how;
         f.endedUs = monotonicUs();
         f.secondEnd = ended_[static_cast<std::size_t>(index)];
         ended_[static_cast<std::size_t>(index)] = true;
         return std::move(f);
     };
-    if (!socket_.send(frame)) return end(Fetched::End::Lost);
+    if (!socket_.send(frame)) return end(FetchResult::Outcome::ConnectionLost);
     bool head = false, content = true;
     for (;;) {
         for (const auto& m : std::exchange(beside_, {}))
-            if (m.kind == Message::NoSend) return end(Fetched::End::NotSent);
+            if (m.kind == Message::NoSend) return end(FetchResult::Outcome::NotSent);
         std::string_view in = in_;
         Reader r(in);
         if (!head) {
@@ -83,7 +83,7 @@
             r.u16();
             getSumHead(r);
             if (r.enough()) {
-                if (got != index) return end(Fetched::End::Lost);
+                if (got != index) return end(FetchResult::Outcome::ConnectionLost);
                 back_ = coder;
                 in_.erase(0, r.used());
                 head = true;
@@ -97,7 +97,7 @@
                 if (t.kind == Token::Kind::Literal) f.content += t.literal;
                 if (t.kind == Token::Kind::End) content = false;
                 if (t.kind == Token::Kind::Bad || t.kind == Token::Kind::Block)
-                    return end(Fetched::End::Lost);
+                    return end(FetchResult::Outcome::ConnectionLost);
                 again = t.kind != Token::Kind::More || in.size() != before;
                 any = any || again;
             }
@@ -112,9 +112,9 @@
             }
             const bool same = in.substr(0, kSumBytes) == sum;
             in_.erase(0, kSumBytes);
-            return end(same ? Fetched::End::Content : Fetched::End::BadSum);
+            return end(same ? FetchResult::Outcome::Content : FetchResult::Outcome::BadChecksum);
         }
-        if (!more()) return end(Fetched::End::Lost);
+        if (!more()) return end(FetchResult::Outcome::ConnectionLost);
     }
 }
 
--- a/kit/rsync_client.hpp
+++ b/kit/rsync_client.hpp
@@ -22,13 +22,18 @@
     RsyncClient(int port, const std::string& path, double seconds);
     bool ready() const { return ready_; }
     const std::vector<wire::rsync::FileEntry>& files() const { return list_; }
-    struct Fetched {
-        enum class End { Content, NotSent, BadSum, Lost } end = End::Lost;
+    struct FetchResult {
+        enum class Outcome {
+            Content,
+            NotSent,
+            BadChecksum,
+            ConnectionLost
+        } outcome = Outcome::ConnectionLost;
         std::int64_t askedUs = 0, endedUs = 0;
         std::string content;
         bool secondEnd = false;  // it had ended before
     };
-    Fetched fetch(std::int32_t index);
+    FetchResult fetch(std::int32_t index);
 
   private:
     bool more();
--- a/kit/judge.cpp
+++ b/kit/trace_checker.cpp
@@ -1,4 +1,4 @@
-#include "kit/judge.hpp"
+#include "kit/trace_checker.hpp"
 
 #include <algorithm>
 #include <cstdlib>
@@ -10,20 +10,21 @@
 namespace spokewheel::kit {
 namespace {
 
-using Kind = Record::Kind;
+using Kind = TraceRecord::Kind;
 
 const char* kNames[] = {"one final answer", "no double effect", "drains",           "cold nodes",
                         "order per key",    "attempt budget",   "limits per volume"};
 
 class Bench {
   public:
-    Bench(std::vector<Record> records, const RuleFigures& figures)
+    Bench(std::vector<TraceRecord> records, const RuleParameters& figures)
         : records_(std::move(records)), f_(figures) {
         std::stable_sort(records_.begin(), records_.end(),
-                         [](const Record& a, const Record& b) { return a.us < b.us; });
-        for (int i = 0; i < 7; ++i) verdicts_.push_back({i + 1, kNames[i], Standing::Kept, 0, "", "", "", 0});
+                         [](const TraceRecord& a, const TraceRecord& b) { return a.us < b.us; });
+        for (int i = 0; i < 7; ++i)
+            verdicts_.push_back({i + 1, kNames[i], RuleStatus::Kept, 0, "", "", "", 0});
     }
-    std::vector<Verdict> run() {
+    std::vector<RuleResult> run() {
         answers();
         effects();
         drains();
@@ -32,30 +33,30 @@
         budget();
         limits();
         for (auto& v : verdicts_)
-            if (v.standing == Standing::Kept && v.looked == 0) {
-                v.standing = Standing::NotJudged;
+            if (v.status == RuleStatus::Kept && v.looked == 0) {
+                v.status = RuleStatus::NotChecked;
                 v.words = "no record is about it";
             }
         return verdicts_;
     }
 
   private:
-    void breach(int rule, const Record& r, std::string words) {
+    void breach(int rule, const TraceRecord& r, std::string words) {
         auto& v = verdicts_[static_cast<std::size_t>(rule - 1)];
-        if (v.standing == Standing::Broken && v.us <= r.us) return;
-        v.standing = Standing::Broken;
+        if (v.status == RuleStatus::Violated && v.us <= r.us) return;
+        v.status = RuleStatus::Violated;
         v.request = r.request;
         v.host = r.host;
         v.us = r.us;
         v.words = std::move(words);
     }
     void looked(int rule) { ++verdicts_[static_cast<std::size_t>(rule - 1)].looked; }
-    const JudgedClass* classOf(const Record& r) const {
+    const JudgedClass* classOf(const TraceRecord& r) const {
         const auto c = f_.classes.find(r.requestClass);
         return c == f_.classes.end() ? nullptr : &c->second;
     }
     bool killedBetween(const std::string& host, std::int64_t from, std::int64_t to) const {
-        return std::any_of(records_.begin(), records_.end(), [&](const Record& r) {
+        return std::any_of(records_.begin(), records_.end(), [&](const TraceRecord& r) {
             return r.kind == Kind::Killed && r.host == host && r.us >= from && r.us <= to;
         });
     }
@@ -63,7 +64,7 @@
     // At its client: one end, in time. At the nodes: nothing more for it once a node has served it, for its
     // end follows that answer.
     void answers() {
-        std::map<std::string, const Record*> took;
+        std::map<std::string, const TraceRecord*> took;
         std::set<std::string> ended, served;
         for (const auto& r : records_) {
             if (r.kind == Kind::Took) took[r.request] = &r;
@@ -223,9 +224,9 @@
         }
     }
 
-    std::vector<Record> records_;
-    const RuleFigures& f_;
-    std::vector<Verdict> verdicts_;
+    std::vector<TraceRecord> records_;
+    const RuleParameters& f_;
+    std::vector<RuleResult> verdicts_;
 };
 
 // The value of a member in a flat JSON object of the stand-in's own writing.
@@ -253,7 +254,7 @@
 
 }  // namespace
 
-std::vector<Verdict> judge(std::vector<Record> records, const RuleFigures& figures) {
+std::vector<RuleResult> checkRules(std::vector<TraceRecord> records, const RuleParameters& figures) {
     return Bench(std::move(records), figures).run();
 }
 
@@ -274,7 +275,7 @@
             if (out.fault.empty()) out.fault = "a line that can't be read: " + line.substr(0, 80);
             continue;
         }
-        Record r;
+        TraceRecord r;
         r.kind = kind->second;
         r.line = std::atoll(member(line, "line").c_str());
         if (r.kind == Kind::Start) {
@@ -307,12 +308,12 @@
     return out;
 }
 
-std::string tell(const std::vector<Verdict>& verdicts, std::int64_t fromUs) {
+std::string tell(const std::vector<RuleResult>& verdicts, std::int64_t fromUs) {
     std::ostringstream out;
     for (const auto& v : verdicts) {
         out << "rule " << v.rule << " " << v.name << ": ";
-        if (v.standing == Standing::Kept) out << "kept (" << v.looked << " looked at)";
-        else if (v.standing == Standing::NotJudged) out << "not judged: " << v.words;
+        if (v.status == RuleStatus::Kept) out << "kept (" << v.looked << " looked at)";
+        else if (v.status == RuleStatus::NotChecked) out << "not judged: " << v.words;
         else
             out << "BROKEN at " << (v.us - fromUs) / 1000 << " ms by " << v.request << " of host " << v.host
                 << ": " << v.words;
@@ -320,13 +321,13 @@
     }
     return out.str();
 }
-bool anyBroken(const std::vector<Verdict>& verdicts) {
+bool anyBroken(const std::vector<RuleResult>& verdicts) {
     return std::any_of(verdicts.begin(), verdicts.end(),
-                       [](const Verdict& v) { return v.standing == Standing::Broken; });
+                       [](const RuleResult& v) { return v.status == RuleStatus::Violated; });
 }
-bool allKept(const std::vector<Verdict>& verdicts) {
+bool allKept(const std::vector<RuleResult>& verdicts) {
     return std::all_of(verdicts.begin(), verdicts.end(),
-                       [](const Verdict& v) { return v.standing == Standing::Kept; });
+                       [](const RuleResult& v) { return v.status == RuleStatus::Kept; });
 }
 
 }  // namespace spokewheel::kit
--- a/kit/judge.hpp
+++ b/kit/trace_checker.hpp
@@ -9,7 +9,7 @@
 
 namespace spokewheel::kit {
 
-struct Record {
+struct TraceRecord {
     enum class Kind {
         Arrive,   // an attempt reached a node
         Execute,  // the node did it
@@ -37,7 +37,7 @@
 struct JudgedVolume {
     double limit = 0, burst = 0, slack = 0;  // a limit of 0: none
 };
-struct RuleFigures {
+struct RuleParameters {
     std::map<std::string, JudgedClass> classes;
     std::map<std::int64_t, JudgedVolume> volumes;
     double answerGraceMs = 50, drainGraceMs = 1000, settleMs = 100;
@@ -45,25 +45,25 @@
     double extraFloor = 0, extraShare = 0, extraSpanMs = 0;  // a span of 0: no budget stated
 };
 
-enum class Standing { Kept, Broken, NotJudged };
-struct Verdict {
+enum class RuleStatus { Kept, Violated, NotChecked };
+struct RuleResult {
     int rule = 0;
     std::string name;
-    Standing standing = Standing::Kept;
+    RuleStatus status = RuleStatus::Kept;
     std::size_t looked = 0;  // at how many records that the rule is about
     // The first breach, or why it was not judged.
     std::string request, host, words;
     std::int64_t us = 0;
 };
 
-std::vector<Verdict> judge(std::vector<Record> records, const RuleFigures& figures);
-std::string tell(const std::vector<Verdict>& verdicts, std::int64_t fromUs);
-bool anyBroken(const std::vector<Verdict>& verdicts);
-bool allKept(const std::vector<Verdict>& verdicts);
+std::vector<RuleResult> checkRules(std::vector<TraceRecord> records, const RuleParameters& figures);
+std::string tell(const std::vector<RuleResult>& verdicts, std::int64_t fromUs);
+bool anyBroken(const std::vector<RuleResult>& verdicts);
+bool allKept(const std::vector<RuleResult>& verdicts);
 
 // A node's trace as it was written; lines that can't be read, and numbers that leave gaps, are told.
 struct Trace {
-    std::vector<Record> records;
+    std::vector<TraceRecord> records;
     std::string fault;
 };
 Trace parseTrace(const std::string& text);
