--- a/apps/spokewheel.cpp
+++ b/apps/spokewheel.cpp
@@ -72,13 +72,13 @@
     kit::HostOptions quiet;
     quiet.logLevel = "info";
     fleet.startHost(0, 1, quiet);
-    kit::Matrix matrix(fleet, directory + "/trees");
+    kit::OptionMatrix matrix(fleet, directory + "/trees");
     const auto print = [](const std::string& message) {
         std::printf("%s\n", message.c_str());
         std::fflush(stdout);
     };
     if (a.oneMix) {
-        kit::Mix mix;
+        kit::OptionMix mix;
         mix.seed = a.seed;
         mix.entries = a.entries;
         mix.push = a.push;
@@ -87,7 +87,7 @@
         std::istringstream parts(a.options);
         for (std::string o; std::getline(parts, o, '|');) mix.options.push_back(o);
         bool known = false, hung = false;
-        const auto difference = matrix.play(mix, known, hung);
+        const auto difference = matrix.compare(mix, known, hung);
         print(!difference.empty() ? "differs: " + difference
               : known             ? "differs as listed in the table of known differences"
                                   : "same result");
@@ -96,7 +96,7 @@
     const auto r = matrix.run(a.seed, a.rounds, print);
     std::printf(
         "run: %zu, same result: %zu, known differences: %zu, unexpected differences: %zu, hung: %zu\n",
-        r.tried, r.same, r.byTable, r.differences.size(), r.hung);
+        r.mixes, r.same, r.known, r.differences.size(), r.hung);
     return r.differences.empty() ? 0 : 1;
 }
 
--- a/kit/matrix.hpp
+++ b/kit/matrix.hpp
@@ -1,6 +1,6 @@
-// The stock client against the gateway, and the same client from folder to folder as the oracle: seeded trees
-// and seeded mixes of options must leave the same tree and the same exit status. What differs by intent is
-// told by a table here, and checked as such.
+// Compares the stock rsync client through the gateway with the same client between two local folders: random
+// trees and random option mixes must give the same tree and the same exit status. Intended differences are
+// listed in a table, and a mix that meets one is checked against the table instead.
 #pragma once
 
 #include <cstdint>
@@ -12,44 +12,47 @@
 
 namespace spokewheel::kit {
 
-struct Mix {
+// One test case: the trees, the direction and the options of the client.
+struct OptionMix {
     std::uint64_t seed = 1;    // of the trees
-    std::size_t entries = 24;  // of the source tree, most; the least form has few
-    bool push = false;
+    std::size_t entries = 24;  // upper bound of the entries in the source tree; shrinking lowers it
+    bool push = false;         // upload; else download
     std::vector<std::string> options;
-    std::string relative;  // part of the source behind a "/./", with -R
+    std::string relative;  // if not empty: -R, with a subfolder of the source behind a "/./"
     bool filesFrom = false;
 };
-Mix drawMix(std::uint64_t seed);
-// The command that plays this mix alone.
-std::string commandOf(const Mix& mix);
+OptionMix randomMix(std::uint64_t seed);
+// The command line that runs this mix alone.
+std::string commandLineOf(const OptionMix& mix);
 
 struct MatrixResult {
-    std::size_t tried = 0, same = 0, byTable = 0, hung = 0;
+    std::size_t mixes = 0, same = 0, known = 0, hung = 0;
     struct Difference {
-        Mix least;
-        std::string words;
+        OptionMix smallestMix;
+        std::string description;
     };
     std::vector<Difference> differences;
 };
 
-class Matrix {
+class OptionMatrix {
   public:
-    // The fleet's host 0 takes part; all files go below `directory`.
-    Matrix(Fleet& fleet, std::string directory);
-    // Empty where both agree (or differ as the table says, then `byTable` is set); else what differs.
-    std::string play(const Mix& mix, bool& byTable, bool& hung);
-    // The least mix that still differs.
-    Mix shrink(Mix mix);
-    // Seeds from `seed` on; `told` gets a line now and then.
+    // Uses host 0 of the fleet; all files are created below `directory`.
+    OptionMatrix(Fleet& fleet, std::string directory);
+    // Describes how the two runs differ; empty if they do not, or as the table of known differences says
+    // (`known` is set then). `hung`: the client was killed after the time-out.
+    std::string compare(const OptionMix& mix, bool& known, bool& hung);
+    // The smallest mix found that still differs.
+    OptionMix shrink(OptionMix mix);
+    // Runs the mixes of `rounds` seeds from `seed` on; stops after 20 differences. `progress` gets a line for
+    // each difference and after every 100 mixes.
     MatrixResult run(std::uint64_t seed, std::size_t rounds,
-                     const std::function<void(const std::string&)>& told);
+                     const std::function<void(const std::string&)>& progress);
 
   private:
-    std::string place(const std::string& name) const { return directory_ + "/" + name; }
+    std::string pathOf(const std::string& name) const { return directory_ + "/" + name; }
     Fleet& fleet_;
     std::string directory_;
-    std::uint64_t plays_ = 0;
+    std::uint64_t comparisons_ = 0;
 };
 
 }  // namespace spokewheel::kit
