--- a/kit/soak/agent.cpp
+++ b/kit/soak/agent.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-Agent::Agent(Reactor& reactor, Random& random, Record record, int scheduler, int port, Written written)
+Agent::Agent(Reactor& reactor, Random& random, EventSink record, int scheduler, int port, Written written)
     : reactor_(reactor),
       random_(random),
       record_(std::move(record)),
--- a/kit/soak/agent.hpp
+++ b/kit/soak/agent.hpp
@@ -23,7 +23,7 @@
   public:
     // Called when a watch carried a member to its scheduler.
     using Written = std::function<void(const Member&)>;
-    Agent(Reactor& reactor, Random& random, Record record, int scheduler, int port, Written written);
+    Agent(Reactor& reactor, Random& random, EventSink record, int scheduler, int port, Written written);
     ~Agent();
     Agent(const Agent&) = delete;
     Agent& operator=(const Agent&) = delete;
@@ -66,7 +66,7 @@
 
     Reactor& reactor_;
     Random& random_;
-    Record record_;
+    EventSink record_;
     int scheduler_, port_;
     Written written_;
     int revision_ = 1;
--- a/kit/soak/clients.cpp
+++ b/kit/soak/clients.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-Clients::Clients(Reactor& reactor, Random& random, Record record, SchedulerProcess& process, int rank,
+Clients::Clients(Reactor& reactor, Random& random, EventSink record, SchedulerProcess& process, int rank,
                  const Options& options)
     : reactor_(reactor),
       random_(random),
@@ -64,20 +64,20 @@
     if (!process_.ready() && !process_.stopping()) return;
     const auto c = idleOrNew();
     if (!c) return;
-    if (options_.troubles && chance(random_, 0.02)) return malformed(c);
+    if (options_.injectFaults && chance(random_, 0.02)) return malformed(c);
     ask(c, make());
-    if (!options_.troubles || c->open.empty() || !chance(random_, 0.05)) return;
+    if (!options_.injectFaults || c->open.empty() || !chance(random_, 0.05)) return;
     auto behind = make();  // answered after the first, so it has to have as much time
     if (behind.timeoutMs >= c->open.back().timeoutMs) ask(c, std::move(behind));
 }
 
 Clients::Asked Clients::make() {
-    const auto& plans = options_.setting.classes;
+    const auto& plans = options_.settings.classes;
     double draw = drawReal(random_);
-    const ClassPlan* plan = &plans.front();
+    const ClassSettings* plan = &plans.front();
     for (const auto& one : plans) {
         plan = &one;
-        if ((draw -= one.share) < 0) break;
+        if ((draw -= one.trafficShare) < 0) break;
     }
     Asked asked;
     char key[20];
@@ -85,7 +85,7 @@
     asked.id = newRequestId();
     asked.requestClass = plan->name;
     const int little = drawBelow(random_, 50);  // some come with very little time
-    asked.timeoutMs = options_.troubles && little == 0
+    asked.timeoutMs = options_.injectFaults && little == 0
                           ? drawBelow(random_, 20)
                           : std::floor(plan->deadlineMs * (0.5 + 0.5 * drawReal(random_)));
     const bool limited = chance(random_, 0.3);
@@ -115,7 +115,7 @@
         if (c->ready && c->open.empty() && !c->left && !c->malformed && !c->busyWriting) idle.push_back(c);
     if (!idle.empty() && !chance(random_, 0.1))
         return idle[static_cast<std::size_t>(drawBelow(random_, static_cast<int>(idle.size())))];
-    if (process_.stopping() && reactor_.now() > process_.stoppedAt() + kNewWhileStoppingMs) {
+    if (process_.stopping() && reactor_.now() > process_.stopRequestedAt() + kNewWhileStoppingMs) {
         if (idle.empty()) return nullptr;
         return idle[static_cast<std::size_t>(drawBelow(random_, static_cast<int>(idle.size())))];
     }
@@ -125,7 +125,7 @@
 Clients::ConnectionPtr Clients::dial() {
     auto c = std::make_shared<Connection>();
     c->number = newConnectionNumber();
-    c->life = process_.life();
+    c->life = process_.incarnation();
     c->link = reactor_.dial(process_.port());
     c->port = c->link->localPort();
     connections_.push_back(c);
@@ -150,7 +150,7 @@
 
 void Clients::ask(const ConnectionPtr& c, Asked asked) {
     if (c->busyWriting || c->left) return;
-    if (options_.troubles && c->open.empty() && chance(random_, 0.04)) {
+    if (options_.injectFaults && c->open.empty() && chance(random_, 0.04)) {
         const auto text = asked.text;
         c->busyWriting = true;
         return writeSlowly(c, text, [this, c, asked = std::move(asked)]() mutable {
@@ -181,7 +181,7 @@
     asked.endOffset = c->written;
     note(EventKind::RequestSent, c, &asked);
     c->open.push_back(std::move(asked));
-    if (options_.troubles && chance(random_, 0.06))
+    if (options_.injectFaults && chance(random_, 0.06))
         reactor_.after(2 + drawReal(random_) * 400, [this, alive = alive_, c] {
             if (*alive && !c->open.empty()) leave(c);
         });
--- a/kit/soak/clients.hpp
+++ b/kit/soak/clients.hpp
@@ -17,7 +17,7 @@
 
 class Clients {
   public:
-    Clients(Reactor& reactor, Random& random, Record record, SchedulerProcess& process, int rank,
+    Clients(Reactor& reactor, Random& random, EventSink record, SchedulerProcess& process, int rank,
             const Options& options);
     ~Clients();
     Clients(const Clients&) = delete;
@@ -67,7 +67,7 @@
 
     Reactor& reactor_;
     Random& random_;
-    Record record_;
+    EventSink record_;
     SchedulerProcess& process_;
     int rank_;
     const Options& options_;
--- a/kit/soak/world.cpp
+++ b/kit/soak/cluster.cpp
@@ -1,4 +1,4 @@
-#include "kit/soak/world.hpp"
+#include "kit/soak/cluster.hpp"
 
 #include <sys/stat.h>
 
@@ -16,11 +16,11 @@
 
 }  // namespace
 
-World::World(const Options& of) : options(of), random(of.seed), portSource(of.seed) {
+Cluster::Cluster(const Options& of) : options(of), random(of.seed), portSource(of.seed) {
     mkdir(options.folder.c_str(), 0700);
     record_ = [this](Event event) {
         if (event.process == 0 && event.scheduler >= 0)
-            event.process = processes[static_cast<std::size_t>(event.scheduler)]->life();
+            event.process = processes[static_cast<std::size_t>(event.scheduler)]->incarnation();
         events.push_back(std::move(event));
     };
     processes.reserve(static_cast<std::size_t>(options.schedulers));
@@ -28,52 +28,52 @@
     for (int i = 0; i < options.schedulers; ++i) ports.push_back({portSource.take(), portSource.take()});
     for (int i = 0; i < options.schedulers; ++i) {
         agents.push_back(std::make_unique<Agent>(reactor, random, record_, i, portSource.take(),
-                                                 [this, i](const Member& m) { carried(i, m); }));
+                                                 [this, i](const Member& m) { onMemberDelivered(i, m); }));
         processes.push_back(std::make_unique<SchedulerProcess>(reactor, options, record_, i, ports));
         clients.push_back(std::make_unique<Clients>(reactor, random, record_, *processes.back(), i, options));
     }
     for (int cell = 0; cell < options.servers; ++cell) addServer(cell, false);
-    for (int i = 0; i < options.extraMembers; ++i) listExtra(i, "up");
+    for (int i = 0; i < options.extraMembers; ++i) announceExtraMember(i, "up");
 }
 
-void World::begin() {
+void Cluster::start() {
     for (std::size_t i = 0; i < processes.size(); ++i) startProcess(i);
     const double latest = reactor.now() + kReadyWaitMs;
     while (reactor.now() < latest && !allReady()) reactor.runUntil(reactor.now() + 20);
-    beganAt = reactor.now();
-    sample();
+    startedAt = reactor.now();
+    sampleState();
     if (options.requestsPerSecond > 0)
         for (const auto& one : clients) one->start();
-    const auto& volumes = options.setting.busyVolumes;
+    const auto& volumes = options.settings.busyVolumes;
     for (std::size_t i = 0; i < volumes.size(); ++i) moveVolume(i, volumes[i].schedulers, volumes[i].hosts);
     if (options.churnPerSecond > 0 && options.extraMembers > 0) churn();
 }
 
-void World::end() {
+void Cluster::stop() {
     for (const auto& process : processes) process->stop();
-    reactor.runUntil(reactor.now() + options.setting.killAfterMs());
+    reactor.runUntil(reactor.now() + options.settings.killAfterMs());
     for (const auto& one : clients) one->stop();
-    for (const auto& [at, one] : steady_) one->stop();
-    reactor.runUntil(reactor.now() + options.setting.longestDeadlineMs() + kAfterKillMs);
+    for (const auto& [at, one] : steadyClients_) one->stop();
+    reactor.runUntil(reactor.now() + options.settings.longestDeadlineMs() + kAfterKillMs);
 }
 
-void World::sample() {
+void Cluster::sampleState() {
     std::set<int> well;
     for (const auto& slot : servers)
-        if (!slot.gone && slot.server->well()) well.insert(slot.server->place().cell);
+        if (!slot.removed && slot.server->well()) well.insert(slot.server->place().cell);
     for (int cell = 0; cell < options.servers; ++cell)
-        noteState(EventKind::CellState, cell, well.count(cell) > 0, wellCells_);
+        recordStateChange(EventKind::CellState, cell, well.count(cell) > 0, healthyCells_);
     for (std::size_t i = 0; i < processes.size(); ++i) {
         // One that was started in an outage may have to wait for its end.
         const bool outage = agents[i]->down() && processes[i]->startedAt() > agents[i]->downSince();
-        if (outage) markTroubled(i, kHeardAfterOutageMs);
-        noteState(EventKind::SchedulerState, static_cast<int>(i), reactor.now() >= troubledUntil_[i],
-                  wellSchedulers_);
+        if (outage) markImpaired(i, kHeardAfterOutageMs);
+        recordStateChange(EventKind::SchedulerState, static_cast<int>(i), reactor.now() >= impairedUntil_[i],
+                          healthySchedulers_);
     }
-    reactor.after(kSampleMs, [this] { sample(); });
+    reactor.after(kSampleMs, [this] { sampleState(); });
 }
 
-void World::noteState(EventKind kind, int who, bool well, std::map<int, bool>& last) {
+void Cluster::recordStateChange(EventKind kind, int who, bool well, std::map<int, bool>& last) {
     const auto [known, first] = last.emplace(who, true);
     if (known->second == well) return;
     known->second = well;
@@ -86,17 +86,17 @@
     record_(event);
 }
 
-void World::markTroubled(std::size_t scheduler, double lastsMs) {
-    auto& until = troubledUntil_[scheduler];
+void Cluster::markImpaired(std::size_t scheduler, double lastsMs) {
+    auto& until = impairedUntil_[scheduler];
     until = std::max(until, reactor.now() + lastsMs);
 }
 
-void World::moveVolume(std::size_t volume, const std::vector<int>& to, int hosts) {
-    const auto& plan = options.setting.busyVolumes[volume];
-    for (const auto& [at, one] : steady_)
+void Cluster::moveVolume(std::size_t volume, const std::vector<int>& to, int hosts) {
+    const auto& plan = options.settings.busyVolumes[volume];
+    for (const auto& [at, one] : steadyClients_)
         if (at.first == volume && std::find(to.begin(), to.end(), at.second) == to.end()) one->stop();
     for (const int scheduler : to) {
-        auto& one = steady_[{volume, scheduler}];
+        auto& one = steadyClients_[{volume, scheduler}];
         if (!one)
             one = std::make_unique<SteadyClients>(reactor, random, record_,
                                                   *processes[static_cast<std::size_t>(scheduler)], scheduler,
@@ -106,39 +106,39 @@
     }
 }
 
-bool World::allReady() const {
+bool Cluster::allReady() const {
     return std::all_of(processes.begin(), processes.end(), [](const auto& p) { return p->ready(); });
 }
 
-double World::wallMs() const {
+double Cluster::wallClockMs() const {
     timespec at{};
     clock_gettime(CLOCK_REALTIME, &at);
     return static_cast<double>(at.tv_sec) * 1e3 + static_cast<double>(at.tv_nsec) / 1e6 + wallOffsetMs;
 }
 
-void World::script(const std::string& words) {
+void Cluster::logAction(const std::string& words) {
     char at[24];
-    std::snprintf(at, sizeof at, "%.0f ms: ", reactor.now() - beganAt);
-    did.push_back(at + words);
+    std::snprintf(at, sizeof at, "%.0f ms: ", reactor.now() - startedAt);
+    actionLog.push_back(at + words);
 }
 
-DiskServer& World::addServer(int cell, bool cold) {
+DiskServer& Cluster::addServer(int cell, bool cold) {
     std::vector<int> ports;
     for (int i = 0; i < options.schedulers; ++i) ports.push_back(portSource.take());
-    ServerSlot slot;
+    ServerEntry slot;
     DiskServer::Place place{"s-" + std::to_string(servers.size()), cell % 2 ? "b" : "a", cell};
     slot.server =
-        std::make_unique<DiskServer>(reactor, random, record_, place, std::move(ports), options.setting);
+        std::make_unique<DiskServer>(reactor, random, record_, place, std::move(ports), options.settings);
     if (cold) {
         slot.server->startCold();
-        slot.upSinceMs = wallMs();
+        slot.upSinceMs = wallClockMs();
     }
     servers.push_back(std::move(slot));
-    list(servers.back(), "up");
+    announce(servers.back(), "up");
     return *servers.back().server;
 }
 
-void World::list(const ServerSlot& slot, const std::string& phase) {
+void Cluster::announce(const ServerEntry& slot, const std::string& phase) {
     const auto& place = slot.server->place();
     for (std::size_t i = 0; i < agents.size(); ++i)
         agents[i]->change({place.id, place.zone, phase, place.cell, slot.server->portFor(static_cast<int>(i)),
@@ -146,19 +146,19 @@
 }
 
 // Members that are listed and never asked for, for the cost of a long list.
-void World::listExtra(int number, const std::string& phase) {
+void Cluster::announceExtraMember(int number, const std::string& phase) {
     for (std::size_t i = 0; i < agents.size(); ++i)
         agents[i]->change({"extra-" + std::to_string(number), number % 2 ? "b" : "a", phase, 1000 + number,
                            servers.front().server->portFor(static_cast<int>(i)), 0, 0});
 }
 
-void World::churn() {
-    listExtra(churned_, "removed");
-    listExtra(options.extraMembers + churned_++, "up");
+void Cluster::churn() {
+    announceExtraMember(replacedMembers_, "removed");
+    announceExtraMember(options.extraMembers + replacedMembers_++, "up");
     reactor.after(1000 / options.churnPerSecond, [this] { churn(); });
 }
 
-void World::measure() {
+void Cluster::recordUsage() {
     for (const auto& process : processes) {
         const auto own = process->usage();
         const double part = 1.0 / static_cast<double>(processes.size());
@@ -169,25 +169,25 @@
 }
 
 // A watch carried the server's present start to a scheduler.
-void World::carried(int scheduler, const Member& member) {
+void Cluster::onMemberDelivered(int scheduler, const Member& member) {
     for (const auto& slot : servers)
         if (slot.server->place().id == member.id && slot.upSinceMs == member.upSinceMs)
             slot.server->schedulerTold(scheduler);
 }
 
-void World::startProcess(std::size_t i) {
+void Cluster::startProcess(std::size_t i) {
     processes[i]->writeConfiguration(agents[i]->port(), agents[i]->oldList(drawBelow(random, 3)));
     processes[i]->start();
 }
 
-void World::restartWhenGone(std::size_t i, double afterMs) {
+void Cluster::restartAfterExit(std::size_t i, double afterMs) {
     reactor.after(afterMs, [this, i] {
-        if (processes[i]->running()) return restartWhenGone(i, 100);
+        if (processes[i]->running()) return restartAfterExit(i, 100);
         startProcess(i);
     });
 }
 
-void World::moveDiscovery(std::size_t i, bool torn) {
+void Cluster::moveDiscovery(std::size_t i, bool torn) {
     if (!processes[i]->running()) return;
     agents[i]->moveTo(portSource.take());
     processes[i]->writeConfiguration(agents[i]->port(), agents[i]->oldList(0),
@@ -198,15 +198,15 @@
             30, [this, i] { processes[i]->writeConfiguration(agents[i]->port(), agents[i]->oldList(0)); });
 }
 
-void World::calmSystemCalls(std::size_t i) {
+void Cluster::clearSystemCallFaults(std::size_t i) {
     for (auto& permille : processes[i]->control().permille) permille.store(0);
 }
 
-void World::calm() {
+void Cluster::clearFaults() {
     for (std::size_t i = 0; i < agents.size(); ++i) {
         agents[i]->setDown(false);
         agents[i]->slowDown(false);
-        calmSystemCalls(i);
+        clearSystemCallFaults(i);
         processes[i]->readLog(true);
     }
 }
--- a/kit/soak/world.hpp
+++ b/kit/soak/cluster.hpp
@@ -20,40 +20,40 @@
 
 namespace spokewheel::soak {
 
-class World {
+class Cluster {
   public:
-    struct ServerSlot {
+    struct ServerEntry {
         std::unique_ptr<DiskServer> server;
-        bool gone = false;
+        bool removed = false;
         double upSinceMs = 0;
     };
-    explicit World(const Options& options);
-    World(const World&) = delete;
-    World& operator=(const World&) = delete;
+    explicit Cluster(const Options& options);
+    Cluster(const Cluster&) = delete;
+    Cluster& operator=(const Cluster&) = delete;
 
     // Starts all, and waits until they are ready or time is up. Clients ask from then on.
-    void begin();
+    void start();
     // Takes back what lasts until it is taken back.
-    void calm();
-    void calmSystemCalls(std::size_t scheduler);
+    void clearFaults();
+    void clearSystemCallFaults(std::size_t scheduler);
     // Tells all to stop; their clients use open connections up to the kill.
-    void end();
+    void stop();
 
     DiskServer& addServer(int cell, bool cold);
     // Discovery tells of the server, in this phase.
-    void list(const ServerSlot& slot, const std::string& phase);
+    void announce(const ServerEntry& slot, const std::string& phase);
     void startProcess(std::size_t scheduler);
-    void restartWhenGone(std::size_t scheduler, double afterMs);
+    void restartAfterExit(std::size_t scheduler, double afterMs);
     // A new configuration names another address of discovery; `torn`: it is seen half written first.
     void moveDiscovery(std::size_t scheduler, bool torn);
     // What surrounds the scheduler is in trouble for so long: no service is demanded of it.
-    void markTroubled(std::size_t scheduler, double lastsMs);
-    double wallMs() const;  // as the schedulers see it
-    void script(const std::string& words);
+    void markImpaired(std::size_t scheduler, double lastsMs);
+    double wallClockMs() const;  // as the schedulers see it
+    void logAction(const std::string& words);
     // The requests of a busy volume come through these schedulers from now on, and tell so many.
     void moveVolume(std::size_t volume, const std::vector<int>& schedulers, int hosts);
     // What the processes have used so far.
-    void measure();
+    void recordUsage();
 
     const Options& options;
     Random random;
@@ -63,24 +63,25 @@
     std::vector<std::unique_ptr<Agent>> agents;
     std::vector<std::unique_ptr<SchedulerProcess>> processes;
     std::vector<std::unique_ptr<Clients>> clients;
-    std::vector<ServerSlot> servers;
-    double beganAt = 0, wallOffsetMs = 0;
-    std::vector<std::string> did;  // what was done, with times
+    std::vector<ServerEntry> servers;
+    double startedAt = 0, wallOffsetMs = 0;
+    std::vector<std::string> actionLog;  // what was done, with times
     SchedulerProcess::Usage usage;
 
   private:
     bool allReady() const;
-    void sample();
-    void noteState(EventKind kind, int who, bool well, std::map<int, bool>& last);
-    void listExtra(int number, const std::string& phase);
+    void sampleState();
+    void recordStateChange(EventKind kind, int who, bool well, std::map<int, bool>& last);
+    void announceExtraMember(int number, const std::string& phase);
     void churn();
-    void carried(int scheduler, const Member& member);
+    void onMemberDelivered(int scheduler, const Member& member);
 
-    Record record_;
-    std::map<int, bool> wellCells_, wellSchedulers_;
-    std::map<std::size_t, double> troubledUntil_;
-    std::map<std::pair<std::size_t, int>, std::unique_ptr<SteadyClients>> steady_;  // volume, scheduler
-    int churned_ = 0;
+    EventSink record_;
+    std::map<int, bool> healthyCells_, healthySchedulers_;
+    std::map<std::size_t, double> impairedUntil_;
+    std::map<std::pair<std::size_t, int>, std::unique_ptr<SteadyClients>>
+        steadyClients_;  // volume, scheduler
+    int replacedMembers_ = 0;
 };
 
 }  // namespace spokewheel::soak
--- a/kit/soak/disk_server.cpp
+++ b/kit/soak/disk_server.cpp
@@ -39,8 +39,8 @@
     bool out = false;  // an attempt is not finished
 };
 
-DiskServer::DiskServer(Reactor& reactor, Random& random, Record record, Place place, std::vector<int> ports,
-                       Setting setting)
+DiskServer::DiskServer(Reactor& reactor, Random& random, EventSink record, Place place,
+                       std::vector<int> ports, Settings setting)
     : reactor_(reactor),
       random_(random),
       record_(std::move(record)),
@@ -247,7 +247,7 @@
     const auto told = toldAt_.find(attempt.scheduler);
     event.cold = cold() && told != toldAt_.end() && event.at > told->second + kToldToleranceMs;
     event.ageMs = event.at - startedAt_;
-    event.words = words;
+    event.detail = words;
     record_(event);
 }
 
--- a/kit/soak/disk_server.hpp
+++ b/kit/soak/disk_server.hpp
@@ -26,8 +26,8 @@
         Vanished,  // the machine is cut off: nothing comes in or goes out
         Crashed    // connections reset, new ones refused
     };
-    DiskServer(Reactor& reactor, Random& random, Record record, Place place, std::vector<int> ports,
-               Setting setting = {});
+    DiskServer(Reactor& reactor, Random& random, EventSink record, Place place, std::vector<int> ports,
+               Settings setting = {});
     ~DiskServer();
     DiskServer(const DiskServer&) = delete;
     DiskServer& operator=(const DiskServer&) = delete;
@@ -87,10 +87,10 @@
 
     Reactor& reactor_;
     Random& random_;
-    Record record_;
+    EventSink record_;
     Place place_;
     std::vector<int> ports_;
-    Setting setting_;
+    Settings setting_;
     Mode mode_ = Mode::Serving;
     bool draining_ = false, faulty_ = true, instant_ = false;
     double startedAt_ = -1e12, freeAt_ = 0;
--- a/kit/soak/events.hpp
+++ b/kit/soak/events.hpp
@@ -54,35 +54,35 @@
     bool genuine = false;  // of an answer 200: a server made it for this request
     bool cold = false;     // of an attempt: its server was within the cold time
     double ageMs = 0;      // of that server
-    std::string words;
+    std::string detail;
 };
 
-struct ClassTerms {
+struct ClassSemantics {
     std::string name;
     bool once = false, byKey = false, inOrder = false;
-    double memoryMs = 0;
+    double keyRetentionMs = 0;
 };
 
 // Of one volume: units per second, units, units.
-struct LimitTerms {
+struct VolumeLimit {
     double rate = 0, burst = 0, slack = 0;
     int hosts = 1;  // schedulers that its requests come through at a time
 };
 
 // The terms that the record is held to; figures as in the settings given to the schedulers.
-struct Terms {
-    std::vector<ClassTerms> classes;
-    double answerGraceMs = 500, clientGoneMs = 100, timeoutSlackMs = 150, drainGraceMs = 2000;
-    double malformedMs = 3000, readyMs = 10000;
-    double limit = 0, burst = 0, slack = 0;     // of each limited volume that `volumes` does not name
-    std::map<std::string, LimitTerms> volumes;  // asked for without pause
-    double coldMs = 0, coldUnits = 0, coldShare = 1, tipMultiple = 1, fallMs = 0, meanUnits = 1,
+struct Requirements {
+    std::vector<ClassSemantics> classes;
+    double answerGraceMs = 500, clientGoneGraceMs = 100, timeoutSlackMs = 150, drainGraceMs = 2000;
+    double malformedTimeoutMs = 3000, readyTimeoutMs = 10000;
+    double limit = 0, burst = 0, slack = 0;      // of each limited volume that `volumes` does not name
+    std::map<std::string, VolumeLimit> volumes;  // asked for without pause
+    double coldMs = 0, coldUnits = 0, coldShare = 1, overloadFactor = 1, overloadSpanMs = 0, meanUnits = 1,
            serverUnitsPerS = 0;
-    double settleMs = 0, extraFloor = 0, extraShare = 0, extraSpanMs = 0;
+    double settleAfterDoubtMs = 0, retryBudgetFloor = 0, retryBudgetShare = 0, retryBudgetSpanMs = 0;
     // Of what could be served to a class by servers that were well, outside limits, so much has to be.
-    double leastServed = 1.0 / 3, leastAskedMs = 300;
-    std::size_t fewestAsked = 60;
-    double fewestUnits = 30;  // due to a volume, from which its service is judged
+    double minServedFraction = 1.0 / 3, minTimeoutMs = 300;
+    std::size_t minRequests = 60;
+    double minUnits = 30;     // due to a volume, from which its service is judged
     double toleranceMs = 50;  // of every time limit
 };
 
--- a/kit/soak/troubles.hpp
+++ b/kit/soak/fault_injector.hpp
@@ -3,20 +3,20 @@
 
 #include <cstddef>
 
-#include "kit/soak/world.hpp"
+#include "kit/soak/cluster.hpp"
 
 namespace spokewheel::soak {
 
-class Troubles {
+class FaultInjector {
   public:
     // `world` outlives this object, and this object the run.
-    explicit Troubles(World& world) : world_(world) {}
+    explicit FaultInjector(Cluster& cluster) : cluster_(cluster) {}
     // Begins one to three troubles; they end by themselves, or with World::calm().
-    void strike();
+    void injectRandomFaults();
 
   private:
     // Servers and their list.
-    World::ServerSlot* drawServer();
+    Cluster::ServerEntry* drawServer();
     void drainServer();
     void restartServer();
     void troubleServer();
@@ -39,7 +39,7 @@
     void jamLog();
     void burst();
 
-    World& world_;
+    Cluster& cluster_;
 };
 
 }  // namespace spokewheel::soak
--- a/kit/soak/limit_play.cpp
+++ b/kit/soak/limit_play.cpp
@@ -38,12 +38,12 @@
     volume.limit.rate = drawOf(random, kRates);
     volume.limit.burst = volume.limit.rate * drawOf(random, kBurstsS);
     volume.limit.slack = kSlackPart * volume.limit.burst;
-    volume.mostUnits = drawOf(random, kUnits);
+    volume.maxUnits = drawOf(random, kUnits);
     const int hosts[] = {1, 2, std::max(1, schedulers / 2), schedulers};
     volume.hosts = std::min(schedulers, drawOf(random, hosts));
     // Without messages each host has an even part of the store alone: it has to hold a request.
     if (!peers) volume.hosts = std::min(volume.hosts, static_cast<int>(volume.limit.burst / 4));
-    if (!peers) volume.mostUnits = 1;
+    if (!peers) volume.maxUnits = 1;
     volume.hosts = std::max(1, volume.hosts);
     volume.limit.hosts = volume.hosts;
     volume.schedulers = someSchedulers(random, volume.hosts, schedulers);
@@ -51,7 +51,7 @@
     volume.clients = std::max(1, kMostClients / volume.hosts);
     const double clients = volume.clients * volume.hosts;
     volume.refusedPauseMs = std::max(20.0, 8 * clients);
-    const double unitsMean = (1 + volume.mostUnits) / 2.0;
+    const double unitsMean = (1 + volume.maxUnits) / 2.0;
     const double pauseAtLimit = 1000 * clients * unitsMean / volume.limit.rate;
     const int demand = drawBelow(random, 3);
     volume.pauseMs = demand == 0 ? pauseAtLimit / kUnderLimit : demand == 1 ? pauseAtLimit : 0;
@@ -60,32 +60,32 @@
 
 }  // namespace
 
-void drawLimitPlay(Setting& setting, std::uint64_t seed, int schedulers) {
+void drawLimitPlay(Settings& setting, std::uint64_t seed, int schedulers) {
     auto random = randomOf(seed, kSettingStream);
     const int many = 1 + drawBelow(random, 3);
     for (int i = 0; i < many; ++i)
         setting.busyVolumes.push_back(drawVolume(random, i, schedulers, setting.peers));
-    auto& play = setting.limitPlay;
-    if (chance(random, 0.6)) play.restarted = setting.busyVolumes.front().schedulers.front();
-    play.planned = chance(random, 0.5);
+    auto& play = setting.limitFaults;
+    if (chance(random, 0.6)) play.restartedScheduler = setting.busyVolumes.front().schedulers.front();
+    play.plannedStops = chance(random, 0.5);
     play.restartEveryMs = 800 + 4000 * drawReal(random);
     play.downMs = 50 + 900 * drawReal(random);
     // Without messages a volume's set of schedulers is fixed.
-    play.moves = setting.peers && chance(random, 0.5);
-    play.losesPeerMessages = setting.peers && chance(random, 0.5);
+    play.movesVolumes = setting.peers && chance(random, 0.5);
+    play.dropsPeerMessages = setting.peers && chance(random, 0.5);
 }
 
-LimitTroubles::LimitTroubles(World& world)
+LimitTroubles::LimitTroubles(Cluster& world)
     : world_(world), random_(randomOf(world.options.seed, kTroubleStream)) {}
 
 void LimitTroubles::begin() {
-    const auto& play = world_.options.setting.limitPlay;
-    if (play.restarted >= 0) restartSoon();
-    if (play.moves || play.losesPeerMessages) strikeSoon();
+    const auto& play = world_.options.settings.limitFaults;
+    if (play.restartedScheduler >= 0) restartSoon();
+    if (play.movesVolumes || play.dropsPeerMessages) strikeSoon();
 }
 
 void LimitTroubles::restartSoon() {
-    world_.reactor.after(world_.options.setting.limitPlay.restartEveryMs, [this] {
+    world_.reactor.after(world_.options.settings.limitFaults.restartEveryMs, [this] {
         if (calm_) return;
         restart();
         restartSoon();
@@ -93,14 +93,14 @@
 }
 
 void LimitTroubles::restart() {
-    const auto& play = world_.options.setting.limitPlay;
-    const auto i = static_cast<std::size_t>(play.restarted);
+    const auto& play = world_.options.settings.limitFaults;
+    const auto i = static_cast<std::size_t>(play.restartedScheduler);
     auto& process = *world_.processes[i];
     if (!process.ready() || process.stopping()) return;
-    world_.script(std::string(play.planned ? "stop n" : "kill n") + std::to_string(i) + " in series");
-    if (play.planned) process.stop();
+    world_.logAction(std::string(play.plannedStops ? "stop n" : "kill n") + std::to_string(i) + " in series");
+    if (play.plannedStops) process.stop();
     else process.kill();
-    world_.restartWhenGone(i, play.downMs);
+    world_.restartAfterExit(i, play.downMs);
 }
 
 void LimitTroubles::strikeSoon() {
@@ -112,8 +112,8 @@
 }
 
 void LimitTroubles::strike() {
-    const auto& play = world_.options.setting.limitPlay;
-    if (play.moves && (!play.losesPeerMessages || chance(random_, 0.5))) return moveVolume();
+    const auto& play = world_.options.settings.limitFaults;
+    if (play.movesVolumes && (!play.dropsPeerMessages || chance(random_, 0.5))) return moveVolume();
     const double lasts = 300 + 2500 * drawReal(random_);
     switch (drawBelow(random_, 3)) {
         case 0:
@@ -126,17 +126,17 @@
 }
 
 void LimitTroubles::moveVolume() {
-    const auto& volumes = world_.options.setting.busyVolumes;
+    const auto& volumes = world_.options.settings.busyVolumes;
     const auto volume = static_cast<std::size_t>(drawBelow(random_, static_cast<int>(volumes.size())));
     const auto to = someSchedulers(random_, volumes[volume].hosts, world_.options.schedulers);
-    world_.script("volume " + volumes[volume].id + " moves to n" + std::to_string(to.front()) +
-                  " and those behind it");
+    world_.logAction("volume " + volumes[volume].id + " moves to n" + std::to_string(to.front()) +
+                     " and those behind it");
     world_.moveVolume(volume, to, volumes[volume].hosts);
 }
 
 void LimitTroubles::losePeerMessages(std::uint32_t permille, std::size_t everyNth, double lastsMs) {
-    world_.script("messages between schedulers are lost, " + std::to_string(permille) + " of 1000 of each " +
-                  std::to_string(everyNth));
+    world_.logAction("messages between schedulers are lost, " + std::to_string(permille) +
+                     " of 1000 of each " + std::to_string(everyNth));
     const auto set = [this, everyNth](std::uint32_t to) {
         for (std::size_t i = 0; i < world_.processes.size(); i += everyNth)
             world_.processes[i]->control().permille[static_cast<std::size_t>(Fault::LosePeers)].store(to);
--- a/kit/soak/limit_play.hpp
+++ b/kit/soak/limit_play.hpp
@@ -6,19 +6,19 @@
 #include <cstddef>
 #include <cstdint>
 
+#include "kit/soak/cluster.hpp"
 #include "kit/soak/setting.hpp"
-#include "kit/soak/world.hpp"
 
 namespace spokewheel::soak {
 
 // Adds one to three volumes, asked for under, at or over their limit, and what happens to them.
-void drawLimitPlay(Setting& setting, std::uint64_t seed, int schedulers);
+void drawLimitPlay(Settings& setting, std::uint64_t seed, int schedulers);
 
 // The troubles of that kind in one run; they end with calm().
 class LimitTroubles {
   public:
     // `world` outlives this object, and this object the run.
-    explicit LimitTroubles(World& world);
+    explicit LimitTroubles(Cluster& world);
     void begin();
     void calm() { calm_ = true; }
 
@@ -30,7 +30,7 @@
     void moveVolume();
     void losePeerMessages(std::uint32_t permille, std::size_t everyNth, double lastsMs);
 
-    World& world_;
+    Cluster& world_;
     Random random_;
     bool calm_ = false;
 };
--- a/kit/soak/main.cpp
+++ b/kit/soak/main.cpp
@@ -19,9 +19,9 @@
     out.seed = seed;
     out.folder = options.folder + "/seed-" + std::to_string(seed);
     if (fixed) return out;
-    out.setting = soak::drawSetting(seed);
-    if (limits) soak::drawLimitPlay(out.setting, seed, out.schedulers);
-    out.crowds = out.crowds || seed % 3 == 0;
+    out.settings = soak::drawSettings(seed);
+    if (limits) soak::drawLimitPlay(out.settings, seed, out.schedulers);
+    out.connectionFloods = out.connectionFloods || seed % 3 == 0;
     return out;
 }
 
@@ -31,7 +31,7 @@
     std::filesystem::create_directories(options.folder);
     const auto result = soak::run(options);
     auto report = soak::report(result, options);
-    const bool kept = result.breaches.empty();
+    const bool kept = result.violations.empty();
     if (kept) std::filesystem::remove_all(options.folder);
     else {
         report += "  record, script and logs are in " + options.folder + "\n";
@@ -50,8 +50,10 @@
     soak::Options options;
     std::uint64_t seeds = 1;
     bool calm = false, fixed = false, noLimits = false;
-    app.add_option("--scheduler", options.scheduler, "the daemon")->required()->check(CLI::ExistingFile);
-    app.add_option("--shim", options.shim, "the fault shim")->check(CLI::ExistingFile);
+    app.add_option("--scheduler", options.schedulerBinary, "the daemon")
+        ->required()
+        ->check(CLI::ExistingFile);
+    app.add_option("--shim", options.shimLibrary, "the fault shim")->check(CLI::ExistingFile);
     app.add_option("--folder", options.folder,
                    "for configurations, and for records of seeds that broke a rule")
         ->required();
@@ -65,13 +67,13 @@
     app.add_flag("--calm", calm, "no troubles");
     app.add_flag("--fixed", fixed, "the same settings for each seed, and no crowds of its own");
     app.add_flag("--no-limits", noLimits, "no volumes that are asked for without pause");
-    app.add_flag("--crowds", options.crowds, "idle clients fill the descriptors now and then");
+    app.add_flag("--crowds", options.connectionFloods, "idle clients fill the descriptors now and then");
     app.add_option("--members", options.extraMembers, "listed servers beside those that are used")
         ->check(CLI::Range(0, 10000));
     app.add_option("--churn", options.churnPerSecond, "of those, replaced each second")
         ->check(CLI::Range(0.0, 1000.0));
     CLI11_PARSE(app, argc, argv);
-    options.troubles = !calm;
+    options.injectFaults = !calm;
     std::uint64_t broken = 0;
     for (std::uint64_t seed = options.seed; seed < options.seed + seeds; ++seed) try {
             broken += !play(optionsOf(options, seed, fixed || calm, !noLimits));
--- a/kit/soak/judge.cpp
+++ b/kit/soak/record_checker.cpp
@@ -1,4 +1,4 @@
-#include "kit/soak/judge.hpp"
+#include "kit/soak/record_checker.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -22,24 +22,25 @@
 }
 
 // A process of a scheduler, from its start to its end.
-struct Life {
+struct ProcessLifetime {
     double from = 0, until = std::numeric_limits<double>::infinity();
     double readyAt = std::numeric_limits<double>::infinity();
     double stopAt = std::numeric_limits<double>::infinity();
     bool killed = false;
 };
 
-class Judge {
+class RecordChecker {
   public:
-    Judge(std::vector<Event> events, const Terms& terms) : events_(std::move(events)), terms_(terms) {
+    RecordChecker(std::vector<Event> events, const Requirements& requirements)
+        : events_(std::move(events)), requirements_(requirements) {
         std::stable_sort(events_.begin(), events_.end(),
                          [](const Event& a, const Event& b) { return a.at < b.at; });
         for (const auto& event : events_) {
             end_ = std::max(end_, event.at);
-            noteLife(event);
+            noteLifetime(event);
         }
     }
-    std::vector<Breach> run() {
+    std::vector<RuleViolation> run() {
         oneAnswer();
         noDoubleEffect();
         drains();
@@ -54,19 +55,19 @@
         service();
         limitedService();
         for (const auto& event : events_)
-            if (event.kind == Kind::Violation) breach(Rule::Invariants, event, event.words);
-        return std::move(breaches_);
+            if (event.kind == Kind::Violation) addViolation(Rule::Invariants, event, event.detail);
+        return std::move(violations_);
     }
 
   private:
-    void breach(Rule rule, const Event& event, const std::string& words) {
-        breaches_.push_back({rule, event.at, event.scheduler, event.request, words});
+    void addViolation(Rule rule, const Event& event, const std::string& words) {
+        violations_.push_back({rule, event.at, event.scheduler, event.request, words});
     }
-    void noteLife(const Event& event) {
+    void noteLifetime(const Event& event) {
         static const std::set<Kind> kOfProcesses = {Kind::ProcessStarted, Kind::ProcessReady,
                                                     Kind::StopRequested, Kind::Killed, Kind::Exited};
         if (!kOfProcesses.count(event.kind)) return;
-        auto& life = lives_[{event.scheduler, event.process}];
+        auto& life = lifetimes_[{event.scheduler, event.process}];
         if (event.kind == Kind::ProcessStarted) life.from = event.at;
         if (event.kind == Kind::ProcessReady) life.readyAt = std::min(life.readyAt, event.at);
         if (event.kind == Kind::StopRequested) life.stopAt = event.at;
@@ -78,13 +79,13 @@
     // Whether the process to which the request was sent was killed outright before its answer was due. A kill
     // that ends a planned stop excuses nothing: what it finds unanswered is lost.
     bool killedBefore(const Event& sent, double due) const {
-        const auto found = lives_.find({sent.scheduler, sent.process});
-        if (found == lives_.end()) return false;
+        const auto found = lifetimes_.find({sent.scheduler, sent.process});
+        if (found == lifetimes_.end()) return false;
         const auto& life = found->second;
         return life.killed && life.until <= due && life.stopAt > life.until;
     }
-    const ClassTerms* termsOf(const std::string& name) const {
-        for (const auto& one : terms_.classes)
+    const ClassSemantics* semanticsOf(const std::string& name) const {
+        for (const auto& one : requirements_.classes)
             if (one.name == name) return &one;
         return nullptr;
     }
@@ -101,34 +102,35 @@
                 excused.insert(event.request);
             if (event.kind == Kind::Answered && !event.request.empty()) {
                 if (!answeredAt.emplace(event.request, event.at).second)
-                    breach(Rule::OneAnswer, event, "a second answer");
+                    addViolation(Rule::OneAnswer, event, "a second answer");
                 const auto found = sent.find(event.request);
-                if (found == sent.end()) breach(Rule::OneAnswer, event, "an answer without a request");
+                if (found == sent.end()) addViolation(Rule::OneAnswer, event, "an answer without a request");
                 else if (event.at > dueAt(*found->second))
-                    breach(Rule::OneAnswer, event,
-                           "answered " + ms(event.at - found->second->at) + " after the request");
+                    addViolation(Rule::OneAnswer, event,
+                                 "answered " + ms(event.at - found->second->at) + " after the request");
                 if (event.status == 200 && !event.genuine)
-                    breach(Rule::OneAnswer, event, "served with what no server made for it");
+                    addViolation(Rule::OneAnswer, event, "served with what no server made for it");
             }
             if (event.kind == Kind::ConnectionEnded && !event.request.empty()) {
                 if (event.read && !excused.count(event.request) && !answeredAt.count(event.request) &&
-                    !killedBefore(event, event.at + terms_.toleranceMs))
-                    breach(Rule::OneAnswer, event, "read, and its connection ended without an answer");
+                    !killedBefore(event, event.at + requirements_.toleranceMs))
+                    addViolation(Rule::OneAnswer, event, "read, and its connection ended without an answer");
                 excused.insert(event.request);
             }
             if (event.kind == Kind::AttemptBegan) {
                 const auto found = answeredAt.find(event.request);
-                if (found != answeredAt.end() && event.at > found->second + terms_.toleranceMs)
-                    breach(Rule::OneAnswer, event, "sent " + ms(event.at - found->second) + " after its end");
+                if (found != answeredAt.end() && event.at > found->second + requirements_.toleranceMs)
+                    addViolation(Rule::OneAnswer, event,
+                                 "sent " + ms(event.at - found->second) + " after its end");
             }
         }
         for (const auto& [request, event] : sent)
             if (!answeredAt.count(request) && !excused.count(request) && dueAt(*event) < end_ &&
                 !killedBefore(*event, dueAt(*event)))
-                breach(Rule::OneAnswer, *event, "no answer");
+                addViolation(Rule::OneAnswer, *event, "no answer");
     }
     double dueAt(const Event& sent) const {
-        return sent.at + sent.timeoutMs + terms_.answerGraceMs + terms_.toleranceMs;
+        return sent.at + sent.timeoutMs + requirements_.answerGraceMs + requirements_.toleranceMs;
     }
 
     // Rule 2. What a killed process had out counts like the rest: a client's retry has another id.
@@ -143,7 +145,7 @@
         for (const auto& event : events_)
             if (event.kind == Kind::NotExecuted) notExecuted.insert(event.attempt);
         for (const auto& event : events_) {
-            const auto* kind = termsOf(event.requestClass);
+            const auto* kind = semanticsOf(event.requestClass);
             if (event.kind == Kind::AttemptWhole && kind && (kind->once || kind->byKey)) {
                 const auto before = mayHaveRun.find(event.request);
                 if (before != mayHaveRun.end())
@@ -152,18 +154,18 @@
                     mayHaveRun[event.request] = {event.at, event.zone};
             }
             if (event.kind == Kind::Executed && kind && kind->once && ++executed[event.request] > 1)
-                breach(Rule::NoDoubleEffect, event, "executed twice");
+                addViolation(Rule::NoDoubleEffect, event, "executed twice");
             if (event.kind == Kind::Answered && event.status == 503 && kind && kind->once &&
                 mayHaveRun.count(event.request))
-                breach(Rule::NoDoubleEffect, event, "refused though it may have run");
+                addViolation(Rule::NoDoubleEffect, event, "refused though it may have run");
         }
     }
-    void checkRepeat(const Event& event, const ClassTerms& kind, double ranAt, const std::string& zone) {
-        if (kind.once) return breach(Rule::NoDoubleEffect, event, "sent again though it may have run");
-        if (event.zone != zone) return breach(Rule::NoDoubleEffect, event, "repeated in another zone");
-        if (event.at > ranAt + kind.memoryMs + terms_.toleranceMs)
-            breach(Rule::NoDoubleEffect, event,
-                   "repeated " + ms(event.at - ranAt) + " after it may have run");
+    void checkRepeat(const Event& event, const ClassSemantics& kind, double ranAt, const std::string& zone) {
+        if (kind.once) return addViolation(Rule::NoDoubleEffect, event, "sent again though it may have run");
+        if (event.zone != zone) return addViolation(Rule::NoDoubleEffect, event, "repeated in another zone");
+        if (event.at > ranAt + kind.keyRetentionMs + requirements_.toleranceMs)
+            addViolation(Rule::NoDoubleEffect, event,
+                         "repeated " + ms(event.at - ranAt) + " after it may have run");
     }
 
     void drains() {
@@ -176,35 +178,39 @@
                 told.emplace(std::make_pair(event.scheduler, event.server), event.at);
             if (event.kind != Kind::AttemptBegan) continue;
             const auto found = told.find({event.scheduler, event.server});
-            if (found != told.end() && event.at > found->second + terms_.drainGraceMs + terms_.toleranceMs)
-                breach(Rule::Drains, event,
-                       "at " + event.server + " " + ms(event.at - found->second) + " after the notice");
+            if (found != told.end() &&
+                event.at > found->second + requirements_.drainGraceMs + requirements_.toleranceMs)
+                addViolation(Rule::Drains, event,
+                             "at " + event.server + " " + ms(event.at - found->second) + " after the notice");
         }
     }
 
     // Calls of mean work in any fall time: N + 2 sqrt(N) + 2, under 30: N + 3 sqrt(N) + 3.
     void slowStart() {
-        if (terms_.coldMs <= 0) return;
+        if (requirements_.coldMs <= 0) return;
         std::map<std::string, std::deque<std::pair<double, double>>> windows;
         for (const auto& event : events_) {
             if (event.kind == Kind::ServerStarted) windows[event.server].clear();
             if (event.kind != Kind::AttemptWhole || !event.cold) continue;
             auto& window = windows[event.server];
             window.emplace_back(event.at, event.units);
-            while (window.front().first < event.at - terms_.fallMs) window.pop_front();
+            while (window.front().first < event.at - requirements_.overloadSpanMs) window.pop_front();
             double units = 0;
             for (const auto& [at, one] : window) units += one;
             const double share =
-                terms_.coldShare + (1 - terms_.coldShare) * std::min(1.0, event.ageMs / terms_.coldMs);
-            const double allowed = std::max(
-                terms_.coldUnits, terms_.tipMultiple * share * terms_.serverUnitsPerS * terms_.fallMs / 1000);
-            const double n = allowed / terms_.meanUnits, root = std::sqrt(n);
+                requirements_.coldShare +
+                (1 - requirements_.coldShare) * std::min(1.0, event.ageMs / requirements_.coldMs);
+            const double allowed = std::max(requirements_.coldUnits, requirements_.overloadFactor * share *
+                                                                         requirements_.serverUnitsPerS *
+                                                                         requirements_.overloadSpanMs / 1000);
+            const double n = allowed / requirements_.meanUnits, root = std::sqrt(n);
             const double most = n < 30 ? n + 3 * root + 3 : n + 2 * root + 2;
-            if (units / terms_.meanUnits > most)
-                breach(Rule::SlowStart, event,
-                       std::to_string(static_cast<int>(units)) + " units at " + event.server + ", " +
-                           ms(event.ageMs) + " old, " +
-                           std::to_string(static_cast<int>(most * terms_.meanUnits)) + " allowed");
+            if (units / requirements_.meanUnits > most)
+                addViolation(Rule::SlowStart, event,
+                             std::to_string(static_cast<int>(units)) + " units at " + event.server + ", " +
+                                 ms(event.ageMs) + " old, " +
+                                 std::to_string(static_cast<int>(most * requirements_.meanUnits)) +
+                                 " allowed");
         }
     }
 
@@ -217,20 +223,20 @@
         std::map<std::tuple<int, int, std::string>, Turn> turns;
         std::set<int> ended;
         for (const auto& event : events_) {
-            const auto* kind = termsOf(event.requestClass);
+            const auto* kind = semanticsOf(event.requestClass);
             if (!kind || !kind->inOrder) continue;
             auto& turn = turns[{event.scheduler, event.process, event.key}];
             if (event.kind == Kind::AttemptWhole) {
                 for (const auto& [attempt, request] : turn.open)
                     if (request != event.request)
-                        breach(Rule::OrderPerKey, event, "while " + request + " of its key is out");
-                if (event.at + terms_.toleranceMs < turn.restUntil)
-                    breach(Rule::OrderPerKey, event, "while its key rests for " + turn.restFor);
+                        addViolation(Rule::OrderPerKey, event, "while " + request + " of its key is out");
+                if (event.at + requirements_.toleranceMs < turn.restUntil)
+                    addViolation(Rule::OrderPerKey, event, "while its key rests for " + turn.restFor);
                 turn.open[event.attempt] = event.request;
             }
             if (event.kind == Kind::AttemptEnded) {
-                if (turn.open.erase(event.attempt) && event.words != "answered") {
-                    turn.restUntil = event.at + terms_.settleMs;
+                if (turn.open.erase(event.attempt) && event.detail != "answered") {
+                    turn.restUntil = event.at + requirements_.settleAfterDoubtMs;
                     turn.restFor = event.request;
                 }
             }
@@ -238,7 +244,7 @@
     }
 
     void retryBudget() {
-        if (terms_.extraSpanMs <= 0) return;
+        if (requirements_.retryBudgetSpanMs <= 0) return;
         std::map<std::pair<int, int>, std::deque<double>> taken, extra;
         std::set<std::string> seen;
         for (const auto& event : events_) {
@@ -247,21 +253,24 @@
             if (event.kind != Kind::AttemptWhole || seen.insert(event.request).second) continue;
             auto &repeats = extra[process], &requests = taken[process];
             repeats.push_back(event.at);
-            const double from = event.at - terms_.extraSpanMs;
+            const double from = event.at - requirements_.retryBudgetSpanMs;
             while (!repeats.empty() && repeats.front() <= from) repeats.pop_front();
-            while (!requests.empty() && requests.front() <= from - terms_.toleranceMs) requests.pop_front();
+            while (!requests.empty() && requests.front() <= from - requirements_.toleranceMs)
+                requests.pop_front();
             if (static_cast<double>(repeats.size()) >
-                terms_.extraFloor + terms_.extraShare * static_cast<double>(requests.size()))
-                breach(Rule::RetryBudget, event,
-                       std::to_string(repeats.size()) + " repeats, " + std::to_string(requests.size()) +
-                           " requests in the span");
+                requirements_.retryBudgetFloor +
+                    requirements_.retryBudgetShare * static_cast<double>(requests.size()))
+                addViolation(Rule::RetryBudget, event,
+                             std::to_string(repeats.size()) + " repeats, " + std::to_string(requests.size()) +
+                                 " requests in the span");
         }
     }
 
-    LimitTerms limitOf(const std::string& volume) const {
-        const auto found = terms_.volumes.find(volume);
-        return found != terms_.volumes.end() ? found->second
-                                             : LimitTerms{terms_.limit, terms_.burst, terms_.slack};
+    VolumeLimit limitOf(const std::string& volume) const {
+        const auto found = requirements_.volumes.find(volume);
+        return found != requirements_.volumes.end()
+                   ? found->second
+                   : VolumeLimit{requirements_.limit, requirements_.burst, requirements_.slack};
     }
     // First sends of all schedulers, and of all lives of each, against each limited volume's store.
     void limits() {
@@ -279,10 +288,10 @@
             const double filled = store.level + limit.rate * (event.at - store.filledAt) / 1000;
             store.level = std::min(limit.burst, filled) - event.units;
             store.filledAt = event.at;
-            const double slack = limit.slack + limit.rate * terms_.timeoutSlackMs / 1000;
+            const double slack = limit.slack + limit.rate * requirements_.timeoutSlackMs / 1000;
             if (store.level < -slack - 1e-9)
-                breach(Rule::Limits, event,
-                       "volume " + event.volume + " at " + std::to_string(store.level) + " units");
+                addViolation(Rule::Limits, event,
+                             "volume " + event.volume + " at " + std::to_string(store.level) + " units");
         }
     }
 
@@ -292,9 +301,10 @@
             if (event.kind == Kind::ClientLeft) left.emplace(event.request, event.at);
             if (event.kind != Kind::AttemptBegan) continue;
             const auto found = left.find(event.request);
-            if (found != left.end() && event.at > found->second + terms_.clientGoneMs + terms_.toleranceMs)
-                breach(Rule::ClientGone, event,
-                       "begun " + ms(event.at - found->second) + " after its client left");
+            if (found != left.end() &&
+                event.at > found->second + requirements_.clientGoneGraceMs + requirements_.toleranceMs)
+                addViolation(Rule::ClientGone, event,
+                             "begun " + ms(event.at - found->second) + " after its client left");
         }
     }
 
@@ -307,9 +317,10 @@
             if (found == overAt.end()) continue;
             const double left = found->second - event.at;
             // An attempt never tells less than 1 ms.
-            if (event.timeoutMs > std::max(left, 1.0) + terms_.timeoutSlackMs + terms_.toleranceMs)
-                breach(Rule::TimeoutPassedOn, event,
-                       "told " + ms(event.timeoutMs) + " with " + ms(left) + " left");
+            if (event.timeoutMs >
+                std::max(left, 1.0) + requirements_.timeoutSlackMs + requirements_.toleranceMs)
+                addViolation(Rule::TimeoutPassedOn, event,
+                             "told " + ms(event.timeoutMs) + " with " + ms(left) + " left");
         }
     }
 
@@ -319,46 +330,46 @@
             if (event.kind == Kind::Malformed) open[event.connection] = &event;
             const auto found = open.find(event.connection);
             if (event.kind != Kind::MalformedEnded || found == open.end()) continue;
-            if (event.at > found->second->at + terms_.malformedMs + terms_.toleranceMs)
-                breach(Rule::Malformed, event, "told off after " + ms(event.at - found->second->at));
+            if (event.at > found->second->at + requirements_.malformedTimeoutMs + requirements_.toleranceMs)
+                addViolation(Rule::Malformed, event, "told off after " + ms(event.at - found->second->at));
             open.erase(found);
         }
         for (const auto& [connection, event] : open)
-            if (event->at + terms_.malformedMs + terms_.toleranceMs < end_ &&
-                !killedBefore(*event, event->at + terms_.malformedMs))
-                breach(Rule::Malformed, *event, "neither an error nor a close");
+            if (event->at + requirements_.malformedTimeoutMs + requirements_.toleranceMs < end_ &&
+                !killedBefore(*event, event->at + requirements_.malformedTimeoutMs))
+                addViolation(Rule::Malformed, *event, "neither an error nor a close");
     }
 
     void starts() {
-        for (const auto& [who, life] : lives_) {
+        for (const auto& [who, life] : lifetimes_) {
             if (who.first < 0) continue;
             Event event;
             event.scheduler = who.first;
             event.at = life.from;
-            const double due = life.from + terms_.readyMs;
+            const double due = life.from + requirements_.readyTimeoutMs;
             if (life.readyAt > due && life.until > due && life.stopAt > due && end_ > due)
-                breach(Rule::Starts, event, "not ready after " + ms(terms_.readyMs));
+                addViolation(Rule::Starts, event, "not ready after " + ms(requirements_.readyTimeoutMs));
         }
         for (const auto& event : events_) {
             if (event.kind != Kind::Exited) continue;
-            const auto& life = lives_.at({event.scheduler, event.process});
+            const auto& life = lifetimes_.at({event.scheduler, event.process});
             // One that is told to stop before it can take the signal ends by it, and has taken nothing.
             const bool beforeItBegan = event.status == kEndedBySigterm && life.readyAt > event.at;
             if (life.stopAt > event.at || (event.status != 0 && !beforeItBegan))
-                breach(Rule::Starts, event, "ended with status " + std::to_string(event.status));
+                addViolation(Rule::Starts, event, "ended with status " + std::to_string(event.status));
         }
     }
 
     // Spans in which something was in trouble, by whom.
-    using Troubles = std::map<std::string, std::vector<std::pair<double, double>>>;
-    static bool within(const Troubles& troubles, const std::string& who, double from, double until) {
+    using ImpairedSpans = std::map<std::string, std::vector<std::pair<double, double>>>;
+    static bool within(const ImpairedSpans& troubles, const std::string& who, double from, double until) {
         const auto found = troubles.find(who);
         if (found == troubles.end()) return false;
         return std::any_of(found->second.begin(), found->second.end(),
                            [&](const auto& span) { return span.first <= until && span.second >= from; });
     }
-    Troubles troublesOf(Kind kind) const {
-        Troubles out;
+    ImpairedSpans troublesOf(Kind kind) const {
+        ImpairedSpans out;
         for (const auto& event : events_) {
             if (event.kind != kind) continue;
             auto& spans = out[kind == Kind::CellState ? event.server : std::to_string(event.scheduler)];
@@ -368,10 +379,11 @@
         }
         return out;
     }
-    bool couldBeServed(const Event& sent, const Troubles& cells, const Troubles& schedulers) const {
+    bool couldBeServed(const Event& sent, const ImpairedSpans& cells, const ImpairedSpans& schedulers) const {
         const double due = sent.at + sent.timeoutMs;
-        const auto life = lives_.find({sent.scheduler, sent.process});
-        if (life == lives_.end() || sent.cell < 0 || sent.timeoutMs < terms_.leastAskedMs) return false;
+        const auto life = lifetimes_.find({sent.scheduler, sent.process});
+        if (life == lifetimes_.end() || sent.cell < 0 || sent.timeoutMs < requirements_.minTimeoutMs)
+            return false;
         const auto& process = life->second;
         return process.readyAt <= sent.at && process.until > due && process.stopAt > due && due <= end_ &&
                !within(cells, std::to_string(sent.cell), sent.at, due) &&
@@ -397,14 +409,15 @@
             count.served += served.count(event.request);
         }
         for (const auto& [name, count] : classes) {
-            const double least = terms_.leastServed * static_cast<double>(count.asked);
-            if (count.asked < terms_.fewestAsked || static_cast<double>(count.served) >= least) continue;
+            const double least = requirements_.minServedFraction * static_cast<double>(count.asked);
+            if (count.asked < requirements_.minRequests || static_cast<double>(count.served) >= least)
+                continue;
             Event event;
             event.at = end_;
             event.requestClass = name;
-            breach(Rule::Service, event,
-                   "class " + name + ": " + std::to_string(count.served) + " served of " +
-                       std::to_string(count.asked) + " that could be");
+            addViolation(Rule::Service, event,
+                         "class " + name + ": " + std::to_string(count.served) + " served of " +
+                             std::to_string(count.asked) + " that could be");
         }
     }
 
@@ -422,7 +435,7 @@
             if (event.kind == Kind::Answered && event.status == 200) served.insert(event.request);
         std::map<std::string, Count> volumes;
         for (const auto& event : events_) {
-            if (event.kind != Kind::RequestSent || terms_.volumes.count(event.volume) == 0) continue;
+            if (event.kind != Kind::RequestSent || requirements_.volumes.count(event.volume) == 0) continue;
             if (!couldBeServed(event, cells, schedulers)) continue;
             auto& count = volumes[event.volume];
             count.asked += event.units;
@@ -438,25 +451,26 @@
                 count.served += event.units;
         }
         for (const auto& [name, count] : volumes) {
-            const auto& limit = terms_.volumes.at(name);
+            const auto& limit = requirements_.volumes.at(name);
             double seconds = 0;
             for (const auto& [scheduler, slots] : count.slots)
                 seconds += static_cast<double>(slots.size()) * kSlotMs / 1000;
             const double due = std::min(count.asked, limit.rate / limit.hosts * seconds);
-            if (due < terms_.fewestUnits || count.served >= terms_.leastServed * due) continue;
+            if (due < requirements_.minUnits || count.served >= requirements_.minServedFraction * due)
+                continue;
             Event event;
             event.at = end_;
-            breach(Rule::Service, event,
-                   "volume " + name + ": " + std::to_string(count.served) + " units served of " +
-                       std::to_string(due) + " within its limit");
+            addViolation(Rule::Service, event,
+                         "volume " + name + ": " + std::to_string(count.served) + " units served of " +
+                             std::to_string(due) + " within its limit");
         }
     }
 
     static constexpr int kEndedBySigterm = 128 + 15;
     std::vector<Event> events_;
-    const Terms& terms_;
-    std::map<std::pair<int, int>, Life> lives_;
-    std::vector<Breach> breaches_;
+    const Requirements& requirements_;
+    std::map<std::pair<int, int>, ProcessLifetime> lifetimes_;
+    std::vector<RuleViolation> violations_;
     double end_ = 0;
 };
 
@@ -481,8 +495,8 @@
     return kNames[static_cast<std::size_t>(rule)];
 }
 
-std::vector<Breach> judge(std::vector<Event> events, const Terms& terms) {
-    return Judge(std::move(events), terms).run();
+std::vector<RuleViolation> checkRecord(std::vector<Event> events, const Requirements& requirements) {
+    return RecordChecker(std::move(events), requirements).run();
 }
 
 }  // namespace spokewheel::soak
--- a/kit/soak/judge.hpp
+++ b/kit/soak/record_checker.hpp
@@ -25,14 +25,14 @@
 };
 const char* nameOf(Rule rule);
 
-struct Breach {
+struct RuleViolation {
     Rule rule = Rule::OneAnswer;
     double at = 0;
     int scheduler = -1;
-    std::string request, words;
+    std::string request, detail;
 };
 
 // Every breach, in order of time within each rule. `events` need not be sorted.
-std::vector<Breach> judge(std::vector<Event> events, const Terms& terms);
+std::vector<RuleViolation> checkRecord(std::vector<Event> events, const Requirements& requirements);
 
 }  // namespace spokewheel::soak
--- a/kit/soak/scheduler_process.cpp
+++ b/kit/soak/scheduler_process.cpp
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-SchedulerProcess::SchedulerProcess(Reactor& reactor, const Options& options, Record record, int rank,
+SchedulerProcess::SchedulerProcess(Reactor& reactor, const Options& options, EventSink record, int rank,
                                    const std::vector<Ports>& all)
     : reactor_(reactor),
       options_(options),
@@ -63,9 +63,9 @@
     event.kind = kind;
     event.at = reactor_.now();
     event.scheduler = rank_;
-    event.process = life_;
+    event.process = incarnation_;
     event.status = status;
-    event.words = words;
+    event.detail = words;
     record_(event);
 }
 
@@ -75,11 +75,11 @@
     char seed[32];
     std::snprintf(seed, sizeof seed, "%016llx",
                   static_cast<unsigned long long>(options_.seed * 1000003 +
-                                                  static_cast<unsigned>(life_ * 997 + rank_)));
+                                                  static_cast<unsigned>(incarnation_ * 997 + rank_)));
     const auto text = R"({"name":"n)" + std::to_string(rank_) + R"(","listen":")" +
                       addressText(ports_.clients) + R"(","discovery":")" + addressText(discoveryPort) +
                       R"(","seed":")" + seed + R"(","limits":{"cores":1.0,"memory_mb":64,"sockets":)" +
-                      std::to_string(options_.setting.sockets) + R"(},"peer_listen":")" +
+                      std::to_string(options_.settings.sockets) + R"(},"peer_listen":")" +
                       addressText(ports_.peers) + R"(","peers":[)" + peers + R"(],"known":)" + known +
                       R"(,"settings":)" + settingsJson(options_, rank_) + "}";
     std::ofstream(path("json"), std::ios::binary | std::ios::trunc) << text.substr(0, most);
@@ -90,11 +90,12 @@
     if (pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("no pipe for the log");
     fcntl(ends[1], F_SETPIPE_SZ, options_.logPipeBytes);
     fcntl(ends[0], F_SETFL, O_NONBLOCK);
-    ++life_;
+    ++incarnation_;
     startedAt_ = reactor_.now();
     stopping_ = ready_ = false;
     const std::string configuration = path("json"), controlFile = path("control");
-    const std::string seed = std::to_string(options_.seed * 131 + static_cast<unsigned>(life_ * 17 + rank_));
+    const std::string seed =
+        std::to_string(options_.seed * 131 + static_cast<unsigned>(incarnation_ * 17 + rank_));
     const pid_t parent = getpid();
     pid_ = fork();
     if (pid_ < 0) throw std::runtime_error("fork failed");
@@ -106,11 +107,11 @@
         setenv("LB_CONFIG", configuration.c_str(), 1);
         setenv(kControlVariable, controlFile.c_str(), 1);
         setenv(kSeedVariable, seed.c_str(), 1);
-        if (!options_.shim.empty()) {
-            setenv("LD_PRELOAD", options_.shim.c_str(), 1);
+        if (!options_.shimLibrary.empty()) {
+            setenv("LD_PRELOAD", options_.shimLibrary.c_str(), 1);
             setenv("ASAN_OPTIONS", "verify_asan_link_order=0", 1);  // of a daemon built with the sanitizer
         }
-        execl(options_.scheduler.c_str(), options_.scheduler.c_str(), "--platform", nullptr);
+        execl(options_.schedulerBinary.c_str(), options_.schedulerBinary.c_str(), "--platform", nullptr);
         _exit(127);
     }
     ::close(ends[1]);
@@ -146,7 +147,7 @@
         const auto line = log_.substr(0, end);
         if (line.find("invariant_violated") != std::string::npos) note(EventKind::Violation, 0, line);
         if (line.find("\"level\":\"error\"") != std::string::npos || line.empty() || line[0] != '{')
-            oddLines_.push_back("n" + std::to_string(rank_) + ": " + line);
+            unexpectedLogLines_.push_back("n" + std::to_string(rank_) + ": " + line);
     }
 }
 
@@ -161,8 +162,8 @@
             note(EventKind::Exited, WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status));
         return;
     }
-    reactor_.after(kReapMs, [this, alive = alive_, life = life_] {
-        if (*alive && life == life_) reap();
+    reactor_.after(kReapMs, [this, alive = alive_, life = incarnation_] {
+        if (*alive && life == incarnation_) reap();
     });
 }
 
@@ -175,18 +176,18 @@
         if (const auto l = weak.lock())
             l->write("GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
     };
-    link->onData = [this, alive = alive_, got, life = life_](std::string_view bytes) {
+    link->onData = [this, alive = alive_, got, life = incarnation_](std::string_view bytes) {
         *got += bytes;
-        if (!*alive || ready_ || life != life_ || got->find("HTTP/1.1 200") != 0) return;
+        if (!*alive || ready_ || life != incarnation_ || got->find("HTTP/1.1 200") != 0) return;
         ready_ = true;
         note(EventKind::ProcessReady);
     };
     link->onEnd = [weak](Link::End) {
         if (const auto l = weak.lock()) l->close();
     };
-    reactor_.after(kReadyMs, [this, alive = alive_, weak, life = life_] {
+    reactor_.after(kReadyMs, [this, alive = alive_, weak, life = incarnation_] {
         if (const auto l = weak.lock()) l->close();
-        if (*alive && life == life_) askReady();
+        if (*alive && life == incarnation_) askReady();
     });
 }
 
@@ -197,15 +198,15 @@
 void SchedulerProcess::stop() {
     if (pid_ <= 0 || stopping_) return;
     stopping_ = true;
-    stoppedAt_ = reactor_.now();
+    stopRequestedAt_ = reactor_.now();
     note(EventKind::StopRequested);
     ::kill(pid_, SIGTERM);
-    reactor_.after(options_.setting.killAfterMs(), [this, alive = alive_, life = life_] {
-        if (*alive && life == life_) kill();
+    reactor_.after(options_.settings.killAfterMs(), [this, alive = alive_, life = incarnation_] {
+        if (*alive && life == incarnation_) kill();
     });
 }
 
-void SchedulerProcess::stopAgain() {
+void SchedulerProcess::repeatStop() {
     if (pid_ > 0 && stopping_) ::kill(pid_, SIGTERM);
 }
 
--- a/kit/soak/scheduler_process.hpp
+++ b/kit/soak/scheduler_process.hpp
@@ -20,7 +20,7 @@
 
 class SchedulerProcess {
   public:
-    SchedulerProcess(Reactor& reactor, const Options& options, Record record, int rank,
+    SchedulerProcess(Reactor& reactor, const Options& options, EventSink record, int rank,
                      const std::vector<Ports>& all);
     ~SchedulerProcess();
     SchedulerProcess(const SchedulerProcess&) = delete;
@@ -30,20 +30,20 @@
     void writeConfiguration(int discoveryPort, const std::string& known,
                             std::size_t most = std::string::npos);
     void start();
-    void reload();     // SIGHUP
-    void stop();       // SIGTERM, and SIGKILL as the platform does
-    void stopAgain();  // another SIGTERM while it stops
+    void reload();      // SIGHUP
+    void stop();        // SIGTERM, and SIGKILL as the platform does
+    void repeatStop();  // another SIGTERM while it stops
     void kill();
     bool running() const { return pid_ > 0; }
     bool stopping() const { return stopping_; }
     bool ready() const { return ready_; }
     double startedAt() const { return startedAt_; }
-    double stoppedAt() const { return stoppedAt_; }  // when it was last told to stop
-    int life() const { return life_; }               // counts the starts
+    double stopRequestedAt() const { return stopRequestedAt_; }  // when it was last told to stop
+    int incarnation() const { return incarnation_; }             // counts the starts
     int port() const { return ports_.clients; }
     FaultControl& control() { return *control_; }
     void readLog(bool reads);  // false: its pipe fills up
-    const std::vector<std::string>& oddLines() const { return oddLines_; }
+    const std::vector<std::string>& unexpectedLogLines() const { return unexpectedLogLines_; }
     // What the process has used so far, by the system's accounts.
     struct Usage {
         double cpuSeconds = 0, peakMb = 0;
@@ -60,17 +60,17 @@
 
     Reactor& reactor_;
     const Options& options_;
-    Record record_;
+    EventSink record_;
     int rank_;
     Ports ports_;
     std::vector<Ports> all_;
     FaultControl* control_ = nullptr;
     pid_t pid_ = -1;
-    int logPipe_ = -1, life_ = 0;
+    int logPipe_ = -1, incarnation_ = 0;
     bool stopping_ = false, ready_ = false, reads_ = true;
-    double startedAt_ = 0, stoppedAt_ = 0;
+    double startedAt_ = 0, stopRequestedAt_ = 0;
     std::string log_;
-    std::vector<std::string> oddLines_;
+    std::vector<std::string> unexpectedLogLines_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/kit/soak/soak.cpp
+++ b/kit/soak/soak.cpp
@@ -6,9 +6,9 @@
 #include <sstream>
 #include <utility>
 
+#include "kit/soak/cluster.hpp"
+#include "kit/soak/fault_injector.hpp"
 #include "kit/soak/limit_play.hpp"
-#include "kit/soak/troubles.hpp"
-#include "kit/soak/world.hpp"
 
 namespace spokewheel::soak {
 namespace {
@@ -29,20 +29,20 @@
     return counts;
 }
 
-Result resultOf(World& world) {
+Result resultOf(Cluster& cluster) {
     Result out;
-    out.counts = countsOf(world.events);
-    for (const auto& process : world.processes) {
-        const auto& lines = process->oddLines();
-        out.oddLines.insert(out.oddLines.end(), lines.begin(), lines.end());
+    out.counts = countsOf(cluster.events);
+    for (const auto& process : cluster.processes) {
+        const auto& lines = process->unexpectedLogLines();
+        out.unexpectedLogLines.insert(out.unexpectedLogLines.end(), lines.begin(), lines.end());
         for (const auto& injected : process->control().injected) out.counts["injected"] += injected;
     }
-    for (auto& event : world.events) event.at -= world.beganAt;
-    out.breaches = judge(world.events, termsOf(world.options.setting));
-    out.events = std::move(world.events);
-    out.script = std::move(world.did);
-    out.worstLagMs = world.reactor.worstLagMs();
-    out.usage = world.usage;
+    for (auto& event : cluster.events) event.at -= cluster.startedAt;
+    out.violations = checkRecord(cluster.events, requirementsOf(cluster.options.settings));
+    out.events = std::move(cluster.events);
+    out.actionLog = std::move(cluster.actionLog);
+    out.worstLagMs = cluster.reactor.worstLagMs();
+    out.usage = cluster.usage;
     return out;
 }
 
@@ -50,23 +50,23 @@
 
 Result run(const Options& options) {
     std::signal(SIGPIPE, SIG_IGN);
-    World world(options);
-    Troubles troubles(world);
-    LimitTroubles limitTroubles(world);
-    world.begin();
-    world.reactor.runUntil(world.beganAt + kWarmUpMs);
+    Cluster cluster(options);
+    FaultInjector faultInjector(cluster);
+    LimitTroubles limitTroubles(cluster);
+    cluster.start();
+    cluster.reactor.runUntil(cluster.startedAt + kWarmUpMs);
     limitTroubles.begin();
-    const double end = world.beganAt + 1000 * options.seconds;
-    while (world.reactor.now() < end) {
-        if (options.troubles) troubles.strike();
-        world.reactor.runUntil(std::min(end, world.reactor.now() + 150 + 650 * drawReal(world.random)));
+    const double end = cluster.startedAt + 1000 * options.seconds;
+    while (cluster.reactor.now() < end) {
+        if (options.injectFaults) faultInjector.injectRandomFaults();
+        cluster.reactor.runUntil(std::min(end, cluster.reactor.now() + 150 + 650 * drawReal(cluster.random)));
     }
-    world.measure();
-    world.calm();
+    cluster.recordUsage();
+    cluster.clearFaults();
     limitTroubles.calm();
-    world.reactor.runUntil(world.reactor.now() + kSettleAtEndMs);
-    world.end();
-    return resultOf(world);
+    cluster.reactor.runUntil(cluster.reactor.now() + kSettleAtEndMs);
+    cluster.stop();
+    return resultOf(cluster);
 }
 
 std::string recordText(const Result& result) {
@@ -80,7 +80,7 @@
         out << e.at << " " << nameOf(e.kind) << " n" << e.scheduler << "." << e.process;
         const std::pair<const char*, const std::string*> texts[] = {
             {"server", &e.server}, {"request", &e.request}, {"class", &e.requestClass}, {"volume", &e.volume},
-            {"key", &e.key},       {"zone", &e.zone},       {"words", &e.words}};
+            {"key", &e.key},       {"zone", &e.zone},       {"words", &e.detail}};
         for (const auto& [name, text] : texts)
             if (!text->empty()) out << " " << name << "=" << *text;
         const std::pair<const char*, double> figures[] = {
@@ -96,25 +96,26 @@
 std::string report(const Result& result, const Options& options) {
     std::ostringstream out;
     out << "seed " << options.seed << ", " << options.schedulers << " schedulers, " << options.seconds << " s"
-        << (options.crowds ? ", crowds" : "") << ":";
+        << (options.connectionFloods ? ", crowds" : "") << ":";
     for (const auto& [name, count] : result.counts) out << " " << name << " " << count << ",";
     out << " harness late by " << static_cast<int>(result.worstLagMs) << " ms at most\n";
-    out << "  settings: " << options.setting.summary() << "\n";
+    out << "  settings: " << options.settings.summary() << "\n";
     char usage[96];
     std::snprintf(usage, sizeof usage,
                   "  mean of the processes: %.2f s of CPU, peak %.1f MB; %zu descriptors\n",
                   result.usage.cpuSeconds, result.usage.peakMb, result.usage.descriptors);
     out << usage;
     std::map<Rule, int> many;
-    for (const auto& breach : result.breaches)
-        if (++many[breach.rule] <= 5)
-            out << "  BROKEN " << nameOf(breach.rule) << " at " << static_cast<long>(breach.at) << " ms, n"
-                << breach.scheduler << " " << breach.request << ": " << breach.words << "\n";
+    for (const auto& violation : result.violations)
+        if (++many[violation.rule] <= 5)
+            out << "  BROKEN " << nameOf(violation.rule) << " at " << static_cast<long>(violation.at)
+                << " ms, n" << violation.scheduler << " " << violation.request << ": " << violation.detail
+                << "\n";
     for (const auto& [rule, count] : many) out << "  " << count << " breaches of " << nameOf(rule) << "\n";
-    for (const auto& line : result.oddLines) out << "  log " << line << "\n";
-    if (result.breaches.empty()) out << "  every rule kept\n";
+    for (const auto& line : result.unexpectedLogLines) out << "  log " << line << "\n";
+    if (result.violations.empty()) out << "  every rule kept\n";
     else
-        for (const auto& line : result.script) out << "  did " << line << "\n";
+        for (const auto& line : result.actionLog) out << "  did " << line << "\n";
     return out.str();
 }
 
--- a/kit/soak/soak.hpp
+++ b/kit/soak/soak.hpp
@@ -6,20 +6,20 @@
 #include <string>
 #include <vector>
 
-#include "kit/soak/judge.hpp"
+#include "kit/soak/record_checker.hpp"
 #include "kit/soak/scheduler_process.hpp"
 #include "kit/soak/setting.hpp"
 
 namespace spokewheel::soak {
 
 struct Result {
-    std::vector<Breach> breaches;
-    std::vector<Event> events;          // the record that was judged
-    std::vector<std::string> oddLines;  // what the schedulers logged as errors
+    std::vector<RuleViolation> violations;
+    std::vector<Event> events;                    // the record that was judged
+    std::vector<std::string> unexpectedLogLines;  // what the schedulers logged as errors
     std::map<std::string, std::uint64_t> counts;
-    std::vector<std::string> script;  // what was done, with times
-    SchedulerProcess::Usage usage;    // of the processes' mean; descriptors at the end
-    double worstLagMs = 0;            // of the harness itself: records are late by so much at most
+    std::vector<std::string> actionLog;  // what was done, with times
+    SchedulerProcess::Usage usage;       // of the processes' mean; descriptors at the end
+    double worstLagMs = 0;               // of the harness itself: records are late by so much at most
 };
 
 Result run(const Options& options);
--- a/kit/soak/steady_clients.cpp
+++ b/kit/soak/steady_clients.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-SteadyClients::SteadyClients(Reactor& reactor, Random& random, Record record, SchedulerProcess& process,
+SteadyClients::SteadyClients(Reactor& reactor, Random& random, EventSink record, SchedulerProcess& process,
                              int rank, const Options& options, BusyVolume volume)
     : reactor_(reactor),
       random_(random),
@@ -46,7 +46,7 @@
 }
 
 bool SteadyClients::mayDial() const {
-    if (process_.stopping()) return reactor_.now() <= process_.stoppedAt() + kNewWhileStoppingMs;
+    if (process_.stopping()) return reactor_.now() <= process_.stopRequestedAt() + kNewWhileStoppingMs;
     return process_.ready();
 }
 
@@ -60,7 +60,7 @@
 
 void SteadyClients::dial(const ClientPtr& client) {
     client->connection = newConnectionNumber();
-    client->life = process_.life();
+    client->life = process_.incarnation();
     client->link = reactor_.dial(process_.port());
     client->port = client->link->localPort();
     client->parser.reset();
@@ -87,7 +87,7 @@
 
 void SteadyClients::ask(const ClientPtr& client) {
     if (client->leaving) return client->link->close();
-    const auto& plans = options_.setting.classes;
+    const auto& plans = options_.settings.classes;
     const auto& plan = plans[static_cast<std::size_t>(drawBelow(random_, static_cast<int>(plans.size())))];
     char key[20];
     std::snprintf(key, sizeof key, "%016x", 100 + drawBelow(random_, 4000));
@@ -99,7 +99,7 @@
     text.key = key;
     text.timeoutMs = plan.deadlineMs;
     text.volume = volume_.id;
-    text.units = 1 + drawBelow(random_, volume_.mostUnits);
+    text.units = 1 + drawBelow(random_, volume_.maxUnits);
     text.cell = drawBelow(random_, options_.servers);
     text.hosts = volume_.hosts;
     const auto bytes = textOf(text);
--- a/kit/soak/steady_clients.hpp
+++ b/kit/soak/steady_clients.hpp
@@ -19,7 +19,7 @@
 class SteadyClients {
   public:
     // All but `volume` outlive this object. Nobody asks before start().
-    SteadyClients(Reactor& reactor, Random& random, Record record, SchedulerProcess& process, int rank,
+    SteadyClients(Reactor& reactor, Random& random, EventSink record, SchedulerProcess& process, int rank,
                   const Options& options, BusyVolume volume);
     ~SteadyClients();
     SteadyClients(const SteadyClients&) = delete;
@@ -60,7 +60,7 @@
 
     Reactor& reactor_;
     Random& random_;
-    Record record_;
+    EventSink record_;
     SchedulerProcess& process_;
     int rank_;
     const Options& options_;
