--- a/cmake/Gateway.cmake
+++ b/cmake/Gateway.cmake
@@ -79,7 +79,7 @@
 set_target_properties(spokewheel-cli PROPERTIES OUTPUT_NAME spokewheel)
 spokewheel_program(spokewheel-standin apps/standin.cpp sw_standins)
 
-# The soak: real schedulers under overlapping troubles, judged by their traffic (`make soak`).
+# The soak test: real schedulers under overlapping faults, with their traffic checked (`make soak`).
 add_library(spokewheel_faults MODULE kit/soak/fault_shim.cpp)
 target_include_directories(spokewheel_faults PRIVATE ${CMAKE_SOURCE_DIR})
 target_compile_features(spokewheel_faults PRIVATE cxx_std_20)
--- a/kit/soak/soak.cpp
+++ b/kit/soak/soak.cpp
@@ -13,7 +13,7 @@
 namespace spokewheel::soak {
 namespace {
 
-constexpr double kWarmUpMs = 1500, kSettleAtEndMs = 3500;
+constexpr double kWarmUpMs = 1500, kCooldownMs = 3500;
 
 std::map<std::string, std::uint64_t> countsOf(const std::vector<Event>& events) {
     std::map<std::string, std::uint64_t> counts;
@@ -64,7 +64,7 @@
     cluster.recordUsage();
     cluster.clearFaults();
     limitTroubles.calm();
-    cluster.reactor.runUntil(cluster.reactor.now() + kSettleAtEndMs);
+    cluster.reactor.runUntil(cluster.reactor.now() + kCooldownMs);
     cluster.stop();
     return resultOf(cluster);
 }
@@ -76,16 +76,22 @@
     std::ostringstream out;
     out.setf(std::ios::fixed);
     out.precision(1);
-    for (const auto& e : events) {
-        out << e.at << " " << nameOf(e.kind) << " n" << e.scheduler << "." << e.process;
+    for (const auto& event : events) {
+        out << event.at << " " << nameOf(event.kind) << " n" << event.scheduler << "." << event.process;
         const std::pair<const char*, const std::string*> texts[] = {
-            {"server", &e.server}, {"request", &e.request}, {"class", &e.requestClass}, {"volume", &e.volume},
-            {"key", &e.key},       {"zone", &e.zone},       {"words", &e.detail}};
+            {"server", &event.server}, {"request", &event.request}, {"class", &event.requestClass},
+            {"volume", &event.volume}, {"key", &event.key},         {"zone", &event.zone},
+            {"words", &event.detail}};
         for (const auto& [name, text] : texts)
             if (!text->empty()) out << " " << name << "=" << *text;
-        const std::pair<const char*, double> figures[] = {
-            {"connection", e.connection}, {"attempt", e.attempt}, {"status", e.status}, {"units", e.units},
-            {"timeout", e.timeoutMs},     {"read", e.read},       {"cold", e.cold},     {"age", e.ageMs}};
+        const std::pair<const char*, double> figures[] = {{"connection", event.connection},
+                                                          {"attempt", event.attempt},
+                                                          {"status", event.status},
+                                                          {"units", event.units},
+                                                          {"timeout", event.timeoutMs},
+                                                          {"read", event.read},
+                                                          {"cold", event.cold},
+                                                          {"age", event.ageMs}};
         for (const auto& [name, figure] : figures)
             if (figure != 0) out << " " << name << "=" << figure;
         out << "\n";
@@ -96,26 +102,27 @@
 std::string report(const Result& result, const Options& options) {
     std::ostringstream out;
     out << "seed " << options.seed << ", " << options.schedulers << " schedulers, " << options.seconds << " s"
-        << (options.connectionFloods ? ", crowds" : "") << ":";
+        << (options.connectionFloods ? ", connection floods" : "") << ":";
     for (const auto& [name, count] : result.counts) out << " " << name << " " << count << ",";
-    out << " harness late by " << static_cast<int>(result.worstLagMs) << " ms at most\n";
+    out << " largest delay of the harness " << static_cast<int>(result.worstLagMs) << " ms\n";
     out << "  settings: " << options.settings.summary() << "\n";
     char usage[96];
     std::snprintf(usage, sizeof usage,
-                  "  mean of the processes: %.2f s of CPU, peak %.1f MB; %zu descriptors\n",
+                  "  mean per process: %.2f s of CPU, peak %.1f MB; at most %zu descriptors\n",
                   result.usage.cpuSeconds, result.usage.peakMb, result.usage.descriptors);
     out << usage;
-    std::map<Rule, int> many;
+    std::map<Rule, int> countByRule;
     for (const auto& violation : result.violations)
-        if (++many[violation.rule] <= 5)
-            out << "  BROKEN " << nameOf(violation.rule) << " at " << static_cast<long>(violation.at)
+        if (++countByRule[violation.rule] <= 5)
+            out << "  VIOLATION of " << nameOf(violation.rule) << " at " << static_cast<long>(violation.at)
                 << " ms, n" << violation.scheduler << " " << violation.request << ": " << violation.detail
                 << "\n";
-    for (const auto& [rule, count] : many) out << "  " << count << " breaches of " << nameOf(rule) << "\n";
+    for (const auto& [rule, count] : countByRule)
+        out << "  " << count << " violations of " << nameOf(rule) << "\n";
     for (const auto& line : result.unexpectedLogLines) out << "  log " << line << "\n";
-    if (result.violations.empty()) out << "  every rule kept\n";
+    if (result.violations.empty()) out << "  no rule violated\n";
     else
-        for (const auto& line : result.actionLog) out << "  did " << line << "\n";
+        for (const auto& line : result.actionLog) out << "  action " << line << "\n";
     return out.str();
 }
 
--- a/kit/soak/soak.hpp
+++ b/kit/soak/soak.hpp
@@ -1,5 +1,5 @@
-// One soak run: real scheduler processes, stand-ins around them, overlapping troubles drawn from a seed, and
-// the judge's verdict on what clients and servers saw.
+// Runs one soak test: real scheduler processes with simulated clients, disk servers and discovery agents,
+// under overlapping random faults. What clients and servers saw is checked against the rules.
 #pragma once
 
 #include <map>
@@ -15,16 +15,18 @@
 struct Result {
     std::vector<RuleViolation> violations;
     std::vector<Event> events;                    // the record that was judged
-    std::vector<std::string> unexpectedLogLines;  // what the schedulers logged as errors
+    std::vector<std::string> unexpectedLogLines;  // errors and unreadable lines in the schedulers' logs
     std::map<std::string, std::uint64_t> counts;
-    std::vector<std::string> actionLog;  // what was done, with times
-    SchedulerProcess::Usage usage;       // of the processes' mean; descriptors at the end
-    double worstLagMs = 0;               // of the harness itself: records are late by so much at most
+    std::vector<std::string> actionLog;  // injected faults, with times in ms
+    SchedulerProcess::Usage usage;       // mean over the processes; for descriptors, the maximum
+    double worstLagMs = 0;  // largest delay of the harness itself: event times are off by up to this
 };
 
+// Throws std::runtime_error.
 Result run(const Options& options);
+// The result in words.
 std::string report(const Result& result, const Options& options);
-// The record, one event a line, by time.
+// The record, one event per line, sorted by time.
 std::string recordText(const Result& result);
 
 }  // namespace spokewheel::soak
