--- a/kit/soak/agent.cpp
+++ b/kit/soak/agent.cpp
@@ -36,15 +36,15 @@
 
 Agent::~Agent() {
     *alive_ = false;
-    reactor_.unlisten(port_);
+    reactor_.stopListening(port_);
     for (const auto& watch : watches_) watch->link->close();
 }
 
 void Agent::openPlace() {
-    reactor_.listen(port_, [this](LinkPtr link) { accept(std::move(link)); });
+    reactor_.listen(port_, [this](TcpConnectionPtr link) { accept(std::move(link)); });
 }
 
-std::string Agent::listText(int sinceRevision, bool complete, bool indented) const {
+std::string Agent::listJson(int sinceRevision, bool complete, bool indented) const {
     const std::string gap = indented ? "\n    " : "";
     std::ostringstream out;
     out << "{" << gap << "\"revision\":" << revision_ << "," << gap
@@ -63,7 +63,7 @@
     return out.str();
 }
 
-std::string Agent::oldList(int revisionsBack) const {
+std::string Agent::fullListJson(int revisionsBack) const {
     Agent const& self = *this;
     std::ostringstream out;
     const int revision = std::max(1, self.revision_ - revisionsBack);
@@ -83,7 +83,7 @@
     return out.str();
 }
 
-void Agent::change(const Member& member) {
+void Agent::updateMember(const Member& member) {
     if (down_) return pending_.push_back(member);
     const auto found =
         std::find_if(members_.begin(), members_.end(), [&](const Member& m) { return m.id == member.id; });
@@ -120,7 +120,7 @@
         downSince_ = reactor_.now();
         return;
     }
-    for (const auto& member : std::exchange(pending_, {})) change(member);
+    for (const auto& member : std::exchange(pending_, {})) updateMember(member);
     for (const auto& watch : watches_)
         if (!watch->got.empty() && !watch->asked) onRequest(watch);
 }
@@ -140,7 +140,7 @@
 
 void Agent::moveTo(int port) {
     const int before = std::exchange(port_, port);
-    reactor_.unlisten(before);
+    reactor_.stopListening(before);
     openPlace();
     movedAt_ = reactor_.now();
     for (const auto& watch : watches_) watch->old = true;
@@ -155,7 +155,7 @@
     });
 }
 
-void Agent::accept(LinkPtr link) {
+void Agent::accept(TcpConnectionPtr link) {
     auto watch = std::make_shared<Watch>();
     watch->link = link;
     watches_.push_back(watch);
@@ -166,7 +166,7 @@
         w->got += bytes;
         if (!down_ && !w->asked) onRequest(w);
     };
-    link->onEnd = [this, weak](Link::End) {
+    link->onEnd = [this, weak](TcpConnection::End) {
         const auto w = weak.lock();
         if (!w) return;
         w->link->close();
@@ -204,7 +204,7 @@
 
 void Agent::writeChanges(const WatchPtr& watch, bool complete) {
     const int since = complete ? 0 : watch->writtenUpTo;
-    const auto text = listText(since, complete, chance(random_, 0.3));
+    const auto text = listJson(since, complete, chance(random_, 0.3));
     write(watch, chunkOf(text + "\n"));
     const double now = reactor_.now();
     for (const auto& m : members_) {
--- a/kit/soak/agent.hpp
+++ b/kit/soak/agent.hpp
@@ -31,22 +31,22 @@
     int port() const { return port_; }
     int revision() const { return revision_; }
     // What discovery tells; while it is down the agent learns of it at the return.
-    void change(const Member& member);
+    void updateMember(const Member& member);
     void setDown(bool down);  // silent, and learns nothing
     bool down() const { return down_; }
     double downSince() const { return downSince_; }
     void silenceWatches();  // open ones say nothing any more
     void resetWatches();
-    void slowDown(bool slow) { slow_ = slow; }  // lists go out in small pieces
+    void setSlow(bool slow) { slow_ = slow; }  // lists go out in small pieces
     // The list service is at `port` from now on; its old place closes after 1.5 s.
     void moveTo(int port);
     // The list at `revision` or before, as configurations carry it.
-    std::string listText(int sinceRevision, bool complete, bool indented) const;
-    std::string oldList(int revisionsBack) const;
+    std::string listJson(int sinceRevision, bool complete, bool indented) const;
+    std::string fullListJson(int revisionsBack) const;
 
   private:
     struct Watch {
-        LinkPtr link;
+        TcpConnectionPtr link;
         std::string got;
         bool asked = false, silenced = false, old = false;
         int writtenUpTo = 0;
@@ -54,7 +54,7 @@
     };
     using WatchPtr = std::shared_ptr<Watch>;
     void openPlace();
-    void accept(LinkPtr link);
+    void accept(TcpConnectionPtr link);
     void onRequest(const WatchPtr& watch);
     void write(const WatchPtr& watch, const std::string& bytes);
     void writeChanges(const WatchPtr& watch, bool complete);
--- a/kit/soak/clients.cpp
+++ b/kit/soak/clients.cpp
@@ -26,7 +26,7 @@
 
 Clients::~Clients() {
     *alive_ = false;
-    crowdLeaves();
+    closeIdleConnections();
     for (const auto& c : connections_) c->link->close();
 }
 
@@ -92,7 +92,7 @@
     const int cell = drawBelow(random_, options_.servers);
     asked.cell = cell;
     asked.limited = limited;
-    RequestText text;
+    ClientRequest text;
     text.method = plan->method;
     if (plan->method == "PUT") text.body.assign(static_cast<std::size_t>(drawBelow(random_, 6000)), 'b');
     text.requestClass = plan->name;
@@ -105,7 +105,7 @@
     text.units = 1 + drawBelow(random_, 3);
     text.cell = cell;
     text.hosts = options_.schedulers;
-    asked.text = textOf(text);
+    asked.text = formatRequest(text);
     return asked;
 }
 
@@ -115,7 +115,7 @@
         if (c->ready && c->open.empty() && !c->left && !c->malformed && !c->busyWriting) idle.push_back(c);
     if (!idle.empty() && !chance(random_, 0.1))
         return idle[static_cast<std::size_t>(drawBelow(random_, static_cast<int>(idle.size())))];
-    if (process_.stopping() && reactor_.now() > process_.stoppedAt() + kNewWhileStoppingMs) {
+    if (process_.stopping() && reactor_.now() > process_.stoppedAt() + kNewConnectionsAfterStopMs) {
         if (idle.empty()) return nullptr;
         return idle[static_cast<std::size_t>(drawBelow(random_, static_cast<int>(idle.size())))];
     }
@@ -136,7 +136,7 @@
     c->link->onData = [this, weak](std::string_view bytes) {
         if (const auto l = weak.lock()) onData(l, bytes);
     };
-    c->link->onEnd = [this, weak](Link::End how) {
+    c->link->onEnd = [this, weak](TcpConnection::End how) {
         if (const auto l = weak.lock()) onEnd(l, how);
     };
     reactor_.after(kConnectMs, [this, alive = alive_, weak] {
@@ -205,7 +205,7 @@
                 if (bytes.empty()) return;
                 break;
             case Got::Bad:
-                return onEnd(c, Link::End::Reset);
+                return onEnd(c, TcpConnection::End::Reset);
         }
 }
 
@@ -225,7 +225,7 @@
     note(EventKind::Answered, c, &asked, status, body.rfind("id:" + asked.id + ":", 0) == 0);
 }
 
-void Clients::onEnd(const ConnectionPtr& c, Link::End how) {
+void Clients::onEnd(const ConnectionPtr& c, TcpConnection::End how) {
     if (c->left) return drop(c);
     if (c->malformed) note(EventKind::MalformedEnded, c, nullptr);
     if (c->answering && !c->open.empty()) {
@@ -236,14 +236,14 @@
     c->left = true;
     const auto open = std::exchange(c->open, {});
     // What the process has read of it is known once it can read no more.
-    reactor_.after(kReadSnapshotMs, [this, alive = alive_, c, open, port] {
+    reactor_.after(kLastReadWaitMs, [this, alive = alive_, c, open, port] {
         if (!*alive) return;
-        const auto read = process_.control().readFromPort[port].load();
+        const auto read = process_.control().bytesReadByPort[port].load();
         for (const auto& asked : open)
             note(EventKind::ConnectionEnded, c, &asked, 0, port > 0 && read >= asked.endOffset);
     });
     // A client that was closed under may go on resting for a while before it ends its own side.
-    reactor_.after(how == Link::End::Reset ? 0 : drawReal(random_) * 300, [this, alive = alive_, c] {
+    reactor_.after(how == TcpConnection::End::Reset ? 0 : drawReal(random_) * 300, [this, alive = alive_, c] {
         if (*alive) drop(c);
     });
 }
@@ -287,31 +287,31 @@
     note(EventKind::Malformed, c, nullptr);
 }
 
-void Clients::crowd(int count, double lastsMs) {
+void Clients::openIdleConnections(int count, double lastsMs) {
     for (int i = 0; i < count; ++i) {
         const auto link = reactor_.dial(process_.port());
-        const std::weak_ptr<Link> weak = link;
+        const std::weak_ptr<TcpConnection> weak = link;
         // Some rest after a question, the others say nothing.
         if (i % 2)
             link->onConnected = [weak] {
                 if (const auto l = weak.lock()) l->write("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
             };
-        link->onEnd = [weak](Link::End) {
+        link->onEnd = [weak](TcpConnection::End) {
             if (const auto l = weak.lock()) l->close();
         };
         crowd_.push_back(link);
     }
     reactor_.after(lastsMs, [this, alive = alive_] {
-        if (*alive) crowdLeaves();
+        if (*alive) closeIdleConnections();
     });
 }
 
-void Clients::crowdLeaves() {
+void Clients::closeIdleConnections() {
     for (const auto& link : crowd_) link->close();
     crowd_.clear();
 }
 
-void Clients::malformedBurst(int count) {
+void Clients::sendMalformedRequests(int count) {
     for (int i = 0; i < count && process_.running(); ++i) malformed(dial());
 }
 
--- a/kit/soak/clients.hpp
+++ b/kit/soak/clients.hpp
@@ -26,10 +26,10 @@
     // Asks at the options' rate until stop().
     void start();
     void stop() { asking_ = false; }
-    void malformedBurst(int count);
+    void sendMalformedRequests(int count);
     // Idle connections beside the usual ones, which fill the scheduler's descriptors, for a while.
-    void crowd(int count, double lastsMs);
-    void crowdLeaves();
+    void openIdleConnections(int count, double lastsMs);
+    void closeIdleConnections();
 
   private:
     struct Asked {
@@ -41,7 +41,7 @@
     };
     struct Connection {
         int number = 0, life = 0, port = 0;  // port: of the client's side
-        LinkPtr link;
+        TcpConnectionPtr link;
         wire::http::Parser parser{wire::http::Parser::Kind::Response};
         std::string body;
         bool ready = false, left = false, malformed = false, busyWriting = false, answering = false;
@@ -59,7 +59,7 @@
     void sent(const ConnectionPtr& c, Asked asked);
     void onData(const ConnectionPtr& c, std::string_view bytes);
     void onAnswer(const ConnectionPtr& c);
-    void onEnd(const ConnectionPtr& c, Link::End how);
+    void onEnd(const ConnectionPtr& c, TcpConnection::End how);
     void leave(const ConnectionPtr& c);
     void malformed(const ConnectionPtr& c);
     void drop(const ConnectionPtr& c);
@@ -73,7 +73,7 @@
     const Options& options_;
     bool asking_ = false;
     std::vector<ConnectionPtr> connections_;
-    std::vector<LinkPtr> crowd_;
+    std::vector<TcpConnectionPtr> crowd_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/kit/soak/disk_server.cpp
+++ b/kit/soak/disk_server.cpp
@@ -31,7 +31,7 @@
 
 struct DiskServer::Session {
     int scheduler = -1;
-    LinkPtr link;
+    TcpConnectionPtr link;
     wire::http::Parser parser{wire::http::Parser::Kind::Request};
     double firstByteAt = -1;
     bool begun = false;  // the first byte of the present attempt was recorded
@@ -39,12 +39,12 @@
     bool out = false;  // an attempt is not finished
 };
 
-DiskServer::DiskServer(Reactor& reactor, Random& random, Record record, Place place, std::vector<int> ports,
-                       Setting setting)
+DiskServer::DiskServer(Reactor& reactor, Random& random, Record record, Identity identity,
+                       std::vector<int> ports, Setting setting)
     : reactor_(reactor),
       random_(random),
       record_(std::move(record)),
-      place_(std::move(place)),
+      identity_(std::move(identity)),
       ports_(std::move(ports)),
       setting_(std::move(setting)) {
     openDoors();
@@ -52,26 +52,27 @@
 
 DiskServer::~DiskServer() {
     *alive_ = false;
-    for (const int port : ports_) reactor_.unlisten(port);
+    for (const int port : ports_) reactor_.stopListening(port);
     for (const auto& session : sessions_) session->link->reset();
 }
 
 void DiskServer::openDoors() {
     for (std::size_t i = 0; i < ports_.size(); ++i)
-        reactor_.listen(ports_[i], [this, i](LinkPtr link) { accept(static_cast<int>(i), std::move(link)); });
+        reactor_.listen(ports_[i],
+                        [this, i](TcpConnectionPtr link) { accept(static_cast<int>(i), std::move(link)); });
 }
 
 void DiskServer::setMode(Mode mode) {
     if (mode == mode_) return;
     const auto before = std::exchange(mode_, mode);
-    if (before == Mode::Vanished) {
+    if (before == Mode::Unreachable) {
         // Connections were never taken, and are reset once the machine is back.
-        for (const int port : ports_) reactor_.unlisten(port);
+        for (const int port : ports_) reactor_.stopListening(port);
         resetConnections(1);
     }
-    if (before == Mode::Crashed || before == Mode::Vanished) openDoors();
+    if (before == Mode::Crashed || before == Mode::Unreachable) openDoors();
     if (mode == Mode::Crashed) {
-        for (const int port : ports_) reactor_.unlisten(port);
+        for (const int port : ports_) reactor_.stopListening(port);
         resetConnections(1);
     }
     holdDoors();
@@ -79,21 +80,22 @@
 
 void DiskServer::holdDoors() {
     for (std::size_t i = 0; i < ports_.size(); ++i)
-        reactor_.holdListener(ports_[i], mode_ != Mode::Crashed && cut(static_cast<int>(i)));
+        reactor_.pauseAccepting(ports_[i], mode_ != Mode::Crashed && cut(static_cast<int>(i)));
     for (const auto& session : sessions_) session->link->pauseReading(cut(session->scheduler));
 }
 
-void DiskServer::cutOff(int scheduler, bool isCut) {
+void DiskServer::setPartitioned(int scheduler, bool isCut) {
     if ((cutOff_.count(scheduler) > 0) == isCut) return;
     if (isCut) cutOff_.insert(scheduler);
     else cutOff_.erase(scheduler);
-    if (mode_ == Mode::Vanished || mode_ == Mode::Crashed) return;
+    if (mode_ == Mode::Unreachable || mode_ == Mode::Crashed) return;
     if (!isCut) {
         resetConnectionsOf(scheduler);
         // What waits to be taken came over the cut: it goes with the door.
         const int port = portFor(scheduler);
-        reactor_.unlisten(port);
-        reactor_.listen(port, [this, scheduler](LinkPtr link) { accept(scheduler, std::move(link)); });
+        reactor_.stopListening(port);
+        reactor_.listen(port,
+                        [this, scheduler](TcpConnectionPtr link) { accept(scheduler, std::move(link)); });
     }
     holdDoors();
 }
@@ -108,11 +110,11 @@
     }
 }
 
-void DiskServer::loseFirstTries(bool lose) {
+void DiskServer::setDropSyns(bool lose) {
     if (mode_ != Mode::Serving) lose = false;
     for (std::size_t i = 0; i < ports_.size(); ++i) {
         reactor_.setBacklog(ports_[i], lose ? 0 : kBacklog);
-        if (!cut(static_cast<int>(i)) && mode_ != Mode::Crashed) reactor_.holdListener(ports_[i], lose);
+        if (!cut(static_cast<int>(i)) && mode_ != Mode::Crashed) reactor_.pauseAccepting(ports_[i], lose);
         // A queue of length 0 holds one connection; those who come after it are not heard.
         if (lose)
             for (int n = 0; n < 2; ++n) fillers_.push_back(reactor_.dial(ports_[i]));
@@ -135,11 +137,11 @@
     Event event;
     event.kind = EventKind::ServerStarted;
     event.at = startedAt_;
-    event.server = place_.id;
+    event.server = identity_.id;
     record_(event);
 }
 
-void DiskServer::schedulerTold(int scheduler) { toldAt_.emplace(scheduler, reactor_.now()); }
+void DiskServer::onStartAnnounced(int scheduler) { toldAt_.emplace(scheduler, reactor_.now()); }
 
 void DiskServer::resetConnections(double share) {
     const auto sessions = sessions_;
@@ -151,7 +153,7 @@
     }
 }
 
-void DiskServer::closeIdle(bool usedOnly) {
+void DiskServer::closeIdleConnections(bool usedOnly) {
     const auto sessions = sessions_;
     for (const auto& session : sessions) {
         if (session->out || session->begun || (usedOnly && session->attempt.number == 0)) continue;
@@ -160,7 +162,7 @@
     }
 }
 
-void DiskServer::accept(int scheduler, LinkPtr link) {
+void DiskServer::accept(int scheduler, TcpConnectionPtr link) {
     auto session = std::make_shared<Session>();
     session->scheduler = scheduler;
     session->link = link;
@@ -169,7 +171,7 @@
     link->onData = [this, weak](std::string_view bytes) {
         if (const auto s = weak.lock()) onData(s, bytes);
     };
-    link->onEnd = [this, weak](Link::End) {
+    link->onEnd = [this, weak](TcpConnection::End) {
         const auto s = weak.lock();
         if (!s) return;
         if (s->out) finish(s, s->attempt, "called off");
@@ -235,8 +237,8 @@
                : kind == EventKind::AttemptWhole ? attempt.wholeAt
                                                  : reactor_.now();
     event.scheduler = attempt.scheduler;
-    event.server = place_.id;
-    event.zone = place_.zone;
+    event.server = identity_.id;
+    event.zone = identity_.zone;
     event.request = attempt.request;
     event.requestClass = attempt.requestClass;
     event.key = attempt.key;
@@ -287,7 +289,7 @@
     if (bytes.size() < 2 || !chance(random_, 0.15)) return s->link->write(bytes);
     const auto cut = 1 + static_cast<std::size_t>(drawBelow(random_, static_cast<int>(bytes.size()) - 1));
     s->link->write(bytes.substr(0, cut));
-    const std::weak_ptr<Link> weak = s->link;
+    const std::weak_ptr<TcpConnection> weak = s->link;
     reactor_.after(drawReal(random_) * 8, [weak, rest = bytes.substr(cut)] {
         if (const auto link = weak.lock()) link->write(rest);
     });
@@ -299,10 +301,10 @@
 }
 
 void DiskServer::answer(const SessionPtr& s, const Attempt& attempt) {
-    const std::string body = "id:" + attempt.request + ":" + place_.id + ":" +
+    const std::string body = "id:" + attempt.request + ":" + identity_.id + ":" +
                              std::string(static_cast<std::size_t>(drawBelow(random_, 3000)), 'x');
     const std::string good = withLength("200 OK", body);
-    const std::weak_ptr<Link> weak = s->link;
+    const std::weak_ptr<TcpConnection> weak = s->link;
     const int what = faulty_ ? drawBelow(random_, 100) : 99;
     if (what < 2) {
         finish(s, attempt, "answered");
--- a/kit/soak/disk_server.hpp
+++ b/kit/soak/disk_server.hpp
@@ -16,50 +16,50 @@
 
 class DiskServer {
   public:
-    struct Place {
+    struct Identity {
         std::string id, zone;
         int cell = 0;
     };
     enum class Mode {
         Serving,
-        Hanging,   // takes requests and never gets to them
-        Vanished,  // the machine is cut off: nothing comes in or goes out
-        Crashed    // connections reset, new ones refused
+        Hanging,      // takes requests and never gets to them
+        Unreachable,  // the machine is cut off: nothing comes in or goes out
+        Crashed       // connections reset, new ones refused
     };
-    DiskServer(Reactor& reactor, Random& random, Record record, Place place, std::vector<int> ports,
+    DiskServer(Reactor& reactor, Random& random, Record record, Identity identity, std::vector<int> ports,
                Setting setting = {});
     ~DiskServer();
     DiskServer(const DiskServer&) = delete;
     DiskServer& operator=(const DiskServer&) = delete;
 
-    const Place& place() const { return place_; }
+    const Identity& identity() const { return identity_; }
     int portFor(int scheduler) const { return ports_[static_cast<std::size_t>(scheduler)]; }
     void setMode(Mode mode);
     Mode mode() const { return mode_; }
     void setDraining(bool draining) { draining_ = draining; }
     bool draining() const { return draining_; }
     // Whether a request that comes now can be served: it takes what comes, and is warm.
-    bool well() const { return mode_ == Mode::Serving && !draining_ && !cold(); }
+    bool healthy() const { return mode_ == Mode::Serving && !draining_ && !cold(); }
     // Whether some answers are spoilt, cut or refused; on by default.
-    void setFaulty(bool faulty) { faulty_ = faulty; }
+    void setRandomFaults(bool faulty) { faulty_ = faulty; }
     // Answers at once, however much comes and however cold it is, so that nothing but the list slows a
     // sender.
     void setInstant(bool instant) { instant_ = instant; }
     // Nothing passes between it and the scheduler; connections are reset once the cut is over.
-    void cutOff(int scheduler, bool cut);
+    void setPartitioned(int scheduler, bool cut);
     // While true, the first tries of new connections are lost; TCP makes them again a second later.
-    void loseFirstTries(bool lose);
+    void setDropSyns(bool lose);
     // The next requests are cut off with a reset once a part of them has come, so many.
-    void breakUploads(int many) { breakUploads_ = many; }
-    int uploadsToBreak() const { return breakUploads_; }
+    void resetNextUploads(int many) { breakUploads_ = many; }
+    int uploadsToReset() const { return breakUploads_; }
     // Starts anew, cold.
     void restart();
     void startCold();
     void resetConnections(double share);
     // Connections without an open request; `usedOnly`: of those only such that have had one.
-    void closeIdle(bool usedOnly = false);
+    void closeIdleConnections(bool usedOnly = false);
     // From now on attempts of the scheduler count for the slow start, for it was told of it.
-    void schedulerTold(int scheduler);
+    void onStartAnnounced(int scheduler);
     double ageMs() const { return reactor_.now() - startedAt_; }
 
   private:
@@ -73,9 +73,9 @@
     };
     void openDoors();
     void holdDoors();
-    bool cut(int scheduler) const { return mode_ == Mode::Vanished || cutOff_.count(scheduler) > 0; }
+    bool cut(int scheduler) const { return mode_ == Mode::Unreachable || cutOff_.count(scheduler) > 0; }
     void resetConnectionsOf(int scheduler);
-    void accept(int scheduler, LinkPtr link);
+    void accept(int scheduler, TcpConnectionPtr link);
     void onData(const SessionPtr& session, std::string_view bytes);
     void onWhole(const SessionPtr& session);
     void work(const SessionPtr& session, const Attempt& attempt);
@@ -88,7 +88,7 @@
     Reactor& reactor_;
     Random& random_;
     Record record_;
-    Place place_;
+    Identity identity_;
     std::vector<int> ports_;
     Setting setting_;
     Mode mode_ = Mode::Serving;
@@ -96,8 +96,8 @@
     double startedAt_ = -1e12, freeAt_ = 0;
     int starts_ = 0, breakUploads_ = 0;
     std::set<int> cutOff_;
-    std::vector<LinkPtr> fillers_;  // of the queue of connections that nobody takes
-    std::map<int, double> toldAt_;  // scheduler: when it was told of the present start
+    std::vector<TcpConnectionPtr> fillers_;  // of the queue of connections that nobody takes
+    std::map<int, double> toldAt_;           // scheduler: when it was told of the present start
     std::vector<SessionPtr> sessions_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/kit/soak/main.cpp
+++ b/kit/soak/main.cpp
@@ -6,7 +6,7 @@
 #include <fstream>
 #include <string>
 
-#include "kit/soak/limit_play.hpp"
+#include "kit/soak/limit_scenario.hpp"
 #include "kit/soak/soak.hpp"
 
 namespace {
@@ -20,7 +20,7 @@
     out.folder = options.folder + "/seed-" + std::to_string(seed);
     if (fixed) return out;
     out.setting = soak::drawSetting(seed);
-    if (limits) soak::drawLimitPlay(out.setting, seed, out.schedulers);
+    if (limits) soak::drawLimitScenario(out.setting, seed, out.schedulers);
     out.crowds = out.crowds || seed % 3 == 0;
     return out;
 }
--- a/kit/soak/reactor.cpp
+++ b/kit/soak/reactor.cpp
@@ -36,19 +36,20 @@
 
 }  // namespace
 
-Link::Link(Reactor& reactor, int fd, bool connecting) : reactor_(reactor), fd_(fd), connecting_(connecting) {}
-Link::~Link() {
+TcpConnection::TcpConnection(Reactor& reactor, int fd, bool connecting)
+    : reactor_(reactor), fd_(fd), connecting_(connecting) {}
+TcpConnection::~TcpConnection() {
     if (fd_ >= 0) ::close(fd_);
 }
 
-int Link::localPort() const {
+int TcpConnection::localPort() const {
     sockaddr_in at{};
     socklen_t size = sizeof at;
     return fd_ >= 0 && getsockname(fd_, reinterpret_cast<sockaddr*>(&at), &size) == 0 ? ntohs(at.sin_port)
                                                                                       : 0;
 }
 
-void Link::watch() {
+void TcpConnection::watch() {
     if (fd_ < 0) return;
     epoll_event event{};
     event.data.fd = fd_;
@@ -58,13 +59,13 @@
     epoll_ctl(reactor_.epoll_, EPOLL_CTL_MOD, fd_, &event);
 }
 
-void Link::write(std::string_view bytes) {
+void TcpConnection::write(std::string_view bytes) {
     if (fd_ < 0) return;
     out_ += bytes;
     flush();
 }
 
-void Link::flush() {
+void TcpConnection::flush() {
     while (!connecting_ && !out_.empty() && fd_ >= 0) {
         const ssize_t n = ::send(fd_, out_.data(), out_.size(), MSG_NOSIGNAL);
         if (n < 0) break;  // a break is told by reading
@@ -74,12 +75,12 @@
     watch();
 }
 
-void Link::shutdownWrite() {
+void TcpConnection::shutdownWrite() {
     finish_ = true;
     flush();
 }
 
-void Link::pauseReading(bool paused) {
+void TcpConnection::pauseReading(bool paused) {
     paused_ = paused;
     if (!paused && std::exchange(endedWhilePaused_, false) && fd_ >= 0) {
         epoll_event event{};
@@ -89,7 +90,7 @@
     watch();
 }
 
-void Link::close() {
+void TcpConnection::close() {
     if (fd_ < 0) return;
     const auto found = reactor_.links_.find(fd_);
     if (found != reactor_.links_.end()) {
@@ -100,14 +101,14 @@
     fd_ = -1;
 }
 
-void Link::reset() {
+void TcpConnection::reset() {
     const linger none{1, 0};
     if (fd_ >= 0) setsockopt(fd_, SOL_SOCKET, SO_LINGER, &none, sizeof none);
     close();
 }
 
 // The other side ended. The own side stays open until close(), so that a client can go on resting.
-void Link::end(End how) {
+void TcpConnection::end(End how) {
     if (ended_) return;
     ended_ = true;
     watch();
@@ -116,7 +117,7 @@
     if (onEnd) onEnd(how);
 }
 
-void Link::ready(std::uint32_t events) {
+void TcpConnection::ready(std::uint32_t events) {
     const auto keep = shared_from_this();
     if (ended_) {  // nothing more can come: without this a closed connection would wake each turn
         epoll_ctl(reactor_.epoll_, EPOLL_CTL_DEL, fd_, nullptr);
@@ -165,13 +166,13 @@
     return static_cast<double>(at.tv_sec) * 1e3 + static_cast<double>(at.tv_nsec) / 1e6;
 }
 
-LinkPtr Reactor::dial(int port) {
+TcpConnectionPtr Reactor::dial(int port) {
     const int fd = streamSocket();
     if (fd < 0) throw std::runtime_error("no socket for the harness");
     noDelay(fd);
     const auto at = loopback(port);
     connect(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at);
-    LinkPtr link(new Link(*this, fd, true));
+    TcpConnectionPtr link(new TcpConnection(*this, fd, true));
     links_[fd] = link;
     epoll_event event{};
     event.data.fd = fd;
@@ -207,7 +208,7 @@
     return bound;
 }
 
-void Reactor::unlisten(int port) {
+void Reactor::stopListening(int port) {
     const auto found = doors_.find(port);
     if (found == doors_.end()) return;
     portOfDoor_.erase(found->second.fd);
@@ -215,7 +216,7 @@
     doors_.erase(found);
 }
 
-void Reactor::holdListener(int port, bool held) {
+void Reactor::pauseAccepting(int port, bool held) {
     const auto found = doors_.find(port);
     if (found == doors_.end()) return;
     epoll_event event{};
@@ -257,7 +258,7 @@
             const int taken = accept4(fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
             if (taken < 0) continue;
             noDelay(taken);
-            LinkPtr link(new Link(*this, taken, false));
+            TcpConnectionPtr link(new TcpConnection(*this, taken, false));
             links_[taken] = link;
             epoll_event event{};
             event.data.fd = taken;
--- a/kit/soak/reactor.hpp
+++ b/kit/soak/reactor.hpp
@@ -16,10 +16,10 @@
 class Reactor;
 
 // A TCP connection on loopback. The reactor holds it until it is closed.
-class Link : public std::enable_shared_from_this<Link> {
+class TcpConnection : public std::enable_shared_from_this<TcpConnection> {
   public:
     enum class End { Orderly, Reset };
-    ~Link();
+    ~TcpConnection();
     std::function<void()> onConnected;
     std::function<void(std::string_view)> onData;
     std::function<void(End)> onEnd;  // the other side ended; once, not after close()
@@ -35,7 +35,7 @@
 
   private:
     friend class Reactor;
-    Link(Reactor& reactor, int fd, bool connecting);
+    TcpConnection(Reactor& reactor, int fd, bool connecting);
     void ready(std::uint32_t events);
     void flush();
     void watch();
@@ -47,23 +47,23 @@
     bool endedWhilePaused_ = false;  // and the reactor no longer waits for it
     std::string out_;
 };
-using LinkPtr = std::shared_ptr<Link>;
+using TcpConnectionPtr = std::shared_ptr<TcpConnection>;
 
 class Reactor {
   public:
-    using Accepted = std::function<void(LinkPtr)>;
+    using Accepted = std::function<void(TcpConnectionPtr)>;
     Reactor();
     ~Reactor();
     Reactor(const Reactor&) = delete;
     Reactor& operator=(const Reactor&) = delete;
 
     double now() const;  // monotonic milliseconds
-    LinkPtr dial(int port);
+    TcpConnectionPtr dial(int port);
     // Listens on `port` (0: any); returns the port. Throws std::runtime_error.
     int listen(int port, Accepted accepted);
-    void unlisten(int port);
+    void stopListening(int port);
     // Stops taking connections without refusing them.
-    void holdListener(int port, bool held);
+    void pauseAccepting(int port, bool held);
     // Of connections that wait to be taken (listen(2)).
     void setBacklog(int port, int most);
     void after(double ms, std::function<void()> then);
@@ -76,7 +76,7 @@
     double worstLagMs() const { return worstLag_; }
 
   private:
-    friend class Link;
+    friend class TcpConnection;
     struct Door {
         int fd = -1;
         Accepted accepted;
@@ -84,12 +84,12 @@
     void turn(int waitMs);
 
     int epoll_;
-    std::unordered_map<int, LinkPtr> links_;
+    std::unordered_map<int, TcpConnectionPtr> links_;
     std::map<int, Door> doors_;                // by port
     std::unordered_map<int, int> portOfDoor_;  // by descriptor
     std::unordered_map<int, std::function<void()>> pipes_;
     std::multimap<double, std::function<void()>> timers_;
-    std::vector<LinkPtr> closed_;  // kept until the turn is over
+    std::vector<TcpConnectionPtr> closed_;  // kept until the turn is over
     double worstLag_ = 0;
 };
 
--- a/kit/soak/request.cpp
+++ b/kit/soak/request.cpp
@@ -4,7 +4,7 @@
 
 namespace spokewheel::soak {
 
-std::string textOf(const RequestText& r) {
+std::string formatRequest(const ClientRequest& r) {
     const bool put = r.method == "PUT";
     std::string text = r.method + " /" + r.requestClass + "/object HTTP/1.1\r\nHost: service.internal\r\n";
     text += "X-Request-ID: " + r.id + "\r\n";
--- a/kit/soak/request.hpp
+++ b/kit/soak/request.hpp
@@ -5,22 +5,22 @@
 
 namespace spokewheel::soak {
 
-struct RequestText {
+struct ClientRequest {
     std::string method, requestClass, id, plan, key;
     double timeoutMs = 0;
     std::string volume;  // 16 hex digits
     int units = 1, cell = 0, hosts = 1;
     std::string body;  // of a PUT
 };
-std::string textOf(const RequestText& request);
+std::string formatRequest(const ClientRequest& request);
 
 // Never given out before in this process.
 std::string newRequestId();
 int newConnectionNumber();
 
 // After its end no byte of a connection is read any more, so that what was read of it is known.
-constexpr double kReadSnapshotMs = 750;
+constexpr double kLastReadWaitMs = 750;
 // After SIGTERM new connections keep coming for so long.
-constexpr double kNewWhileStoppingMs = 400;
+constexpr double kNewConnectionsAfterStopMs = 400;
 
 }  // namespace spokewheel::soak
--- a/kit/soak/scheduler_process.cpp
+++ b/kit/soak/scheduler_process.cpp
@@ -170,7 +170,7 @@
     if (pid_ <= 0 || ready_ || stopping_) return;
     const auto link = reactor_.dial(ports_.clients);
     auto got = std::make_shared<std::string>();
-    const std::weak_ptr<Link> weak = link;
+    const std::weak_ptr<TcpConnection> weak = link;
     link->onConnected = [weak] {
         if (const auto l = weak.lock())
             l->write("GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
@@ -181,7 +181,7 @@
         ready_ = true;
         note(EventKind::ProcessReady);
     };
-    link->onEnd = [weak](Link::End) {
+    link->onEnd = [weak](TcpConnection::End) {
         if (const auto l = weak.lock()) l->close();
     };
     reactor_.after(kReadyMs, [this, alive = alive_, weak, life = life_] {
--- a/kit/soak/setting.hpp
+++ b/kit/soak/setting.hpp
@@ -34,7 +34,7 @@
     std::string planName() const { return "plan-" + id; }
 };
 
-// What happens to the busy volumes of a run (limit_play.hpp).
+// What happens to the busy volumes of a run (limit_scenario.hpp).
 struct LimitPlay {
     int restarted = -1;  // a scheduler that is restarted again and again; -1: none
     bool planned = false;
--- a/kit/soak/soak.cpp
+++ b/kit/soak/soak.cpp
@@ -6,7 +6,7 @@
 #include <sstream>
 #include <utility>
 
-#include "kit/soak/limit_play.hpp"
+#include "kit/soak/limit_scenario.hpp"
 #include "kit/soak/troubles.hpp"
 #include "kit/soak/world.hpp"
 
@@ -52,10 +52,10 @@
     std::signal(SIGPIPE, SIG_IGN);
     World world(options);
     Troubles troubles(world);
-    LimitTroubles limitTroubles(world);
+    LimitFaultInjector limitFaultInjector(world);
     world.begin();
     world.reactor.runUntil(world.beganAt + kWarmUpMs);
-    limitTroubles.begin();
+    limitFaultInjector.start();
     const double end = world.beganAt + 1000 * options.seconds;
     while (world.reactor.now() < end) {
         if (options.troubles) troubles.strike();
@@ -63,7 +63,7 @@
     }
     world.measure();
     world.calm();
-    limitTroubles.calm();
+    limitFaultInjector.stop();
     world.reactor.runUntil(world.reactor.now() + kSettleAtEndMs);
     world.end();
     return resultOf(world);
--- a/kit/soak/steady_clients.cpp
+++ b/kit/soak/steady_clients.cpp
@@ -46,7 +46,7 @@
 }
 
 bool SteadyClients::mayDial() const {
-    if (process_.stopping()) return reactor_.now() <= process_.stoppedAt() + kNewWhileStoppingMs;
+    if (process_.stopping()) return reactor_.now() <= process_.stoppedAt() + kNewConnectionsAfterStopMs;
     return process_.ready();
 }
 
@@ -74,7 +74,7 @@
     client->link->onData = [this, weak](std::string_view bytes) {
         if (const auto l = weak.lock()) onData(l, bytes);
     };
-    client->link->onEnd = [this, weak](Link::End) {
+    client->link->onEnd = [this, weak](TcpConnection::End) {
         if (const auto l = weak.lock()) onEnd(l);
     };
 }
@@ -91,7 +91,7 @@
     const auto& plan = plans[static_cast<std::size_t>(drawBelow(random_, static_cast<int>(plans.size())))];
     char key[20];
     std::snprintf(key, sizeof key, "%016x", 100 + drawBelow(random_, 4000));
-    RequestText text;
+    ClientRequest text;
     text.method = plan.method;
     text.requestClass = plan.name;
     text.id = newRequestId();
@@ -102,7 +102,7 @@
     text.units = 1 + drawBelow(random_, volume_.mostUnits);
     text.cell = drawBelow(random_, options_.servers);
     text.hosts = volume_.hosts;
-    const auto bytes = textOf(text);
+    const auto bytes = formatRequest(text);
     client->link->write(bytes);
     client->written += bytes.size();
     client->open =
@@ -173,10 +173,10 @@
             record_(eventOf(EventKind::AnswerBroken, *client, asked));
         } else {
             auto event = eventOf(EventKind::ConnectionEnded, *client, asked);
-            reactor_.after(kReadSnapshotMs, [this, alive = alive_, event, port = client->port,
+            reactor_.after(kLastReadWaitMs, [this, alive = alive_, event, port = client->port,
                                              offset = asked.endOffset]() mutable {
                 if (!*alive) return;
-                event.read = port > 0 && process_.control().readFromPort[port].load() >= offset;
+                event.read = port > 0 && process_.control().bytesReadByPort[port].load() >= offset;
                 record_(event);
             });
         }
--- a/kit/soak/steady_clients.hpp
+++ b/kit/soak/steady_clients.hpp
@@ -40,7 +40,7 @@
     };
     struct Client {
         int connection = 0, life = 0, port = 0;
-        LinkPtr link;
+        TcpConnectionPtr link;
         wire::http::Parser parser{wire::http::Parser::Kind::Response};
         std::string body;
         std::optional<Asked> open;
--- a/kit/soak/troubles.cpp
+++ b/kit/soak/troubles.cpp
@@ -24,10 +24,10 @@
     auto* slot = drawServer();
     if (!slot || world_.servers.size() > static_cast<std::size_t>(4 * world_.options.servers)) return;
     const auto index = static_cast<std::size_t>(slot - world_.servers.data());
-    world_.script("drain " + slot->server->place().id);
+    world_.script("drain " + slot->server->identity().id);
     slot->server->setDraining(true);
     world_.list(*slot, "draining");
-    const int cell = slot->server->place().cell;
+    const int cell = slot->server->identity().cell;
     world_.reactor.after(200 + 1500 * drawReal(world_.random),
                          [this, cell] { world_.addServer(cell, true); });
     world_.reactor.after(2500 + 1500 * drawReal(world_.random), [this, index] {
@@ -40,7 +40,7 @@
     auto* slot = drawServer();
     if (!slot) return;
     const auto index = static_cast<std::size_t>(slot - world_.servers.data());
-    world_.script("restart " + slot->server->place().id);
+    world_.script("restart " + slot->server->identity().id);
     slot->server->setMode(DiskServer::Mode::Crashed);
     world_.reactor.after(100 + 900 * drawReal(world_.random), [this, index] {
         auto& back = world_.servers[index];
@@ -55,8 +55,8 @@
     auto* slot = drawServer();
     if (!slot) return;
     const auto index = static_cast<std::size_t>(slot - world_.servers.data());
-    const auto mode = chance(world_.random, 0.5) ? DiskServer::Mode::Hanging : DiskServer::Mode::Vanished;
-    world_.script((mode == DiskServer::Mode::Hanging ? "hang " : "vanish ") + slot->server->place().id);
+    const auto mode = chance(world_.random, 0.5) ? DiskServer::Mode::Hanging : DiskServer::Mode::Unreachable;
+    world_.script((mode == DiskServer::Mode::Hanging ? "hang " : "vanish ") + slot->server->identity().id);
     slot->server->setMode(mode);
     world_.reactor.after(300 + 2500 * drawReal(world_.random), [this, index] {
         auto& server = *world_.servers[index].server;
@@ -70,10 +70,10 @@
     auto* slot = drawServer();
     if (!slot) return;
     const auto index = static_cast<std::size_t>(slot - world_.servers.data());
-    world_.script("connections to " + slot->server->place().id + " come up late");
-    slot->server->loseFirstTries(true);
+    world_.script("connections to " + slot->server->identity().id + " come up late");
+    slot->server->setDropSyns(true);
     world_.reactor.after(200 + 1300 * drawReal(world_.random),
-                         [this, index] { world_.servers[index].server->loseFirstTries(false); });
+                         [this, index] { world_.servers[index].server->setDropSyns(false); });
 }
 
 // Half of the schedulers reach no server of zone b, and their agents hear nothing.
@@ -89,10 +89,10 @@
         world_.markTroubled(i, lasts + 1000);
         world_.agents[i]->setDown(true);
         for (auto& slot : world_.servers)
-            if (slot.server->place().zone == "b") slot.server->cutOff(scheduler, true);
+            if (slot.server->identity().zone == "b") slot.server->setPartitioned(scheduler, true);
         world_.reactor.after(lasts, [this, i, scheduler] {
             world_.agents[i]->setDown(false);
-            for (auto& slot : world_.servers) slot.server->cutOff(scheduler, false);
+            for (auto& slot : world_.servers) slot.server->setPartitioned(scheduler, false);
         });
     }
 }
@@ -125,7 +125,7 @@
 }
 
 void Troubles::killNow(std::size_t i) {
-    if (chance(world_.random, 0.5)) world_.clients[i]->crowdLeaves();  // in the moment of the kill
+    if (chance(world_.random, 0.5)) world_.clients[i]->closeIdleConnections();  // in the moment of the kill
     world_.processes[i]->kill();
 }
 
@@ -183,8 +183,8 @@
     const double lasts = 1000 + 4000 * drawReal(world_.random);
     world_.script("a crowd at n" + std::to_string(i));
     world_.markTroubled(i, lasts + 3000);
-    world_.clients[i]->crowd(static_cast<int>(1.6 * static_cast<double>(world_.options.setting.sockets)),
-                             lasts);
+    world_.clients[i]->openIdleConnections(
+        static_cast<int>(1.6 * static_cast<double>(world_.options.setting.sockets)), lasts);
     const int then = drawBelow(world_.random, 4);
     if (then == 0)
         world_.reactor.after(300, [this, i] {
@@ -231,11 +231,11 @@
         if (what == 0) world_.agents[i]->setDown(true);
         if (what == 1) world_.agents[i]->silenceWatches();
         if (what == 2) world_.agents[i]->resetWatches();
-        if (what == 3) world_.agents[i]->slowDown(true);
+        if (what == 3) world_.agents[i]->setSlow(true);
         if (what == 0 || what == 3)
             world_.reactor.after(lasts, [this, i] {
                 world_.agents[i]->setDown(false);
-                world_.agents[i]->slowDown(false);
+                world_.agents[i]->setSlow(false);
             });
     }
     if (what < 3 && chance(world_.random, 0.6)) {
@@ -257,17 +257,19 @@
     const auto i = drawScheduler();
     auto& control = world_.processes[i]->control();
     const auto rate = [&](Fault fault, std::uint32_t permille) {
-        control.permille[static_cast<std::size_t>(fault)].store(permille);
+        control.ratePermille[static_cast<std::size_t>(fault)].store(permille);
     };
     const int what = drawBelow(world_.random, 6);
     world_.markTroubled(i, 2500);
     world_.script("system calls of n" + std::to_string(i) + " fail, kind " + std::to_string(what));
-    if (what == 0) rate(Fault::Accept, 300), rate(Fault::Socket, 200), rate(Fault::Connect, 200);
-    if (what == 1) rate(Fault::ShortRead, 300), rate(Fault::ShortWrite, 300), rate(Fault::Interrupt, 300);
-    if (what == 2) rate(Fault::BreakRead, 300);
-    if (what == 3) rate(Fault::Pause, 60), control.pauseMs.store(150);
-    if (what == 4) rate(Fault::SlowDial, 600), control.dialMs.store(240);  // in time
-    if (what == 5) rate(Fault::SlowDial, 400), control.dialMs.store(1500);
+    if (what == 0)
+        rate(Fault::AcceptError, 300), rate(Fault::SocketError, 200), rate(Fault::ConnectError, 200);
+    if (what == 1)
+        rate(Fault::ShortRead, 300), rate(Fault::ShortWrite, 300), rate(Fault::PollInterrupted, 300);
+    if (what == 2) rate(Fault::ReadError, 300);
+    if (what == 3) rate(Fault::PollDelay, 60), control.pollDelayMs.store(150);
+    if (what == 4) rate(Fault::ConnectDelay, 600), control.connectDelayMs.store(240);  // in time
+    if (what == 5) rate(Fault::ConnectDelay, 400), control.connectDelayMs.store(1500);
     world_.reactor.after(400 + 1500 * drawReal(world_.random), [this, i] { world_.calmSystemCalls(i); });
 }
 
@@ -339,11 +341,11 @@
 void Troubles::burst() {
     const auto i = drawScheduler();
     world_.script("malformed clients at n" + std::to_string(i) + ", connections reset, idle ones closed");
-    world_.clients[i]->malformedBurst(10 + drawBelow(world_.random, 30));
+    world_.clients[i]->sendMalformedRequests(10 + drawBelow(world_.random, 30));
     for (auto& slot : world_.servers) {
         if (slot.server->mode() != DiskServer::Mode::Serving) continue;
         if (chance(world_.random, 0.3)) slot.server->resetConnections(0.3);
-        if (chance(world_.random, 0.5)) slot.server->closeIdle();
+        if (chance(world_.random, 0.5)) slot.server->closeIdleConnections();
     }
 }
 
