--- a/kit/soak/cluster.cpp
+++ b/kit/soak/cluster.cpp
@@ -61,7 +61,7 @@
 void Cluster::sampleState() {
     std::set<int> healthy;
     for (const auto& entry : servers)
-        if (!entry.removed && entry.server->well()) healthy.insert(entry.server->place().cell);
+        if (!entry.removed && entry.server->healthy()) healthy.insert(entry.server->identity().cell);
     for (int cell = 0; cell < options.servers; ++cell)
         recordStateChange(EventKind::CellState, cell, healthy.count(cell) > 0, healthyCells_);
     for (std::size_t i = 0; i < processes.size(); ++i) {
@@ -128,7 +128,7 @@
     std::vector<int> ports;
     for (int i = 0; i < options.schedulers; ++i) ports.push_back(portSource.take());
     ServerEntry entry;
-    DiskServer::Place place{"s-" + std::to_string(servers.size()), cell % 2 ? "b" : "a", cell};
+    DiskServer::Identity place{"s-" + std::to_string(servers.size()), cell % 2 ? "b" : "a", cell};
     entry.server =
         std::make_unique<DiskServer>(reactor, random, record_, place, std::move(ports), options.settings);
     if (cold) {
@@ -141,17 +141,17 @@
 }
 
 void Cluster::announce(const ServerEntry& entry, const std::string& phase) {
-    const auto& place = entry.server->place();
+    const auto& place = entry.server->identity();
     for (std::size_t i = 0; i < agents.size(); ++i)
-        agents[i]->change({place.id, place.zone, phase, place.cell,
-                           entry.server->portFor(static_cast<int>(i)), entry.upSinceMs, 0});
+        agents[i]->updateMember({place.id, place.zone, phase, place.cell,
+                                 entry.server->portFor(static_cast<int>(i)), entry.upSinceMs, 0});
 }
 
 // Entries that make the node list long; no request uses their cells.
 void Cluster::announceExtraMember(int number, const std::string& phase) {
     for (std::size_t i = 0; i < agents.size(); ++i)
-        agents[i]->change({"extra-" + std::to_string(number), number % 2 ? "b" : "a", phase, 1000 + number,
-                           servers.front().server->portFor(static_cast<int>(i)), 0, 0});
+        agents[i]->updateMember({"extra-" + std::to_string(number), number % 2 ? "b" : "a", phase,
+                                 1000 + number, servers.front().server->portFor(static_cast<int>(i)), 0, 0});
 }
 
 void Cluster::churn() {
@@ -173,12 +173,12 @@
 // A watch delivered the present start of the server to the scheduler.
 void Cluster::onMemberDelivered(int scheduler, const Member& member) {
     for (const auto& entry : servers)
-        if (entry.server->place().id == member.id && entry.upSinceMs == member.upSinceMs)
-            entry.server->schedulerTold(scheduler);
+        if (entry.server->identity().id == member.id && entry.upSinceMs == member.upSinceMs)
+            entry.server->onStartAnnounced(scheduler);
 }
 
 void Cluster::startProcess(std::size_t i) {
-    processes[i]->writeConfiguration(agents[i]->port(), agents[i]->oldList(drawBelow(random, 3)));
+    processes[i]->writeConfiguration(agents[i]->port(), agents[i]->fullListJson(drawBelow(random, 3)));
     processes[i]->start();
 }
 
@@ -192,22 +192,23 @@
 void Cluster::moveDiscovery(std::size_t i, bool truncated) {
     if (!processes[i]->running()) return;
     agents[i]->moveTo(portSource.take());
-    processes[i]->writeConfiguration(agents[i]->port(), agents[i]->oldList(0),
+    processes[i]->writeConfiguration(agents[i]->port(), agents[i]->fullListJson(0),
                                      truncated ? 200 : std::string::npos);
     processes[i]->reload();
     if (truncated)
-        reactor.after(
-            30, [this, i] { processes[i]->writeConfiguration(agents[i]->port(), agents[i]->oldList(0)); });
+        reactor.after(30, [this, i] {
+            processes[i]->writeConfiguration(agents[i]->port(), agents[i]->fullListJson(0));
+        });
 }
 
 void Cluster::clearSystemCallFaults(std::size_t i) {
-    for (auto& permille : processes[i]->control().permille) permille.store(0);
+    for (auto& permille : processes[i]->control().ratePermille) permille.store(0);
 }
 
 void Cluster::clearFaults() {
     for (std::size_t i = 0; i < agents.size(); ++i) {
         agents[i]->setDown(false);
-        agents[i]->slowDown(false);
+        agents[i]->setSlow(false);
         clearSystemCallFaults(i);
         processes[i]->setLogReading(true);
     }
--- a/kit/soak/fault_injector.cpp
+++ b/kit/soak/fault_injector.cpp
@@ -24,10 +24,10 @@
     auto* entry = drawServer();
     if (!entry || cluster_.servers.size() > static_cast<std::size_t>(4 * cluster_.options.servers)) return;
     const auto index = static_cast<std::size_t>(entry - cluster_.servers.data());
-    cluster_.logAction("drain " + entry->server->place().id);
+    cluster_.logAction("drain " + entry->server->identity().id);
     entry->server->setDraining(true);
     cluster_.announce(*entry, "draining");
-    const int cell = entry->server->place().cell;
+    const int cell = entry->server->identity().cell;
     cluster_.reactor.after(200 + 1500 * drawReal(cluster_.random),
                            [this, cell] { cluster_.addServer(cell, true); });
     cluster_.reactor.after(2500 + 1500 * drawReal(cluster_.random), [this, index] {
@@ -40,7 +40,7 @@
     auto* entry = drawServer();
     if (!entry) return;
     const auto index = static_cast<std::size_t>(entry - cluster_.servers.data());
-    cluster_.logAction("restart " + entry->server->place().id);
+    cluster_.logAction("restart " + entry->server->identity().id);
     entry->server->setMode(DiskServer::Mode::Crashed);
     cluster_.reactor.after(100 + 900 * drawReal(cluster_.random), [this, index] {
         auto& restarted = cluster_.servers[index];
@@ -55,9 +55,10 @@
     auto* entry = drawServer();
     if (!entry) return;
     const auto index = static_cast<std::size_t>(entry - cluster_.servers.data());
-    const auto mode = chance(cluster_.random, 0.5) ? DiskServer::Mode::Hanging : DiskServer::Mode::Vanished;
+    const auto mode =
+        chance(cluster_.random, 0.5) ? DiskServer::Mode::Hanging : DiskServer::Mode::Unreachable;
     cluster_.logAction((mode == DiskServer::Mode::Hanging ? "hang " : "isolate ") +
-                       entry->server->place().id);
+                       entry->server->identity().id);
     entry->server->setMode(mode);
     cluster_.reactor.after(300 + 2500 * drawReal(cluster_.random), [this, index] {
         auto& server = *cluster_.servers[index].server;
@@ -70,10 +71,10 @@
     auto* entry = drawServer();
     if (!entry) return;
     const auto index = static_cast<std::size_t>(entry - cluster_.servers.data());
-    cluster_.logAction("connections to " + entry->server->place().id + " are delayed");
-    entry->server->loseFirstTries(true);
+    cluster_.logAction("connections to " + entry->server->identity().id + " are delayed");
+    entry->server->setDropSyns(true);
     cluster_.reactor.after(200 + 1300 * drawReal(cluster_.random),
-                           [this, index] { cluster_.servers[index].server->loseFirstTries(false); });
+                           [this, index] { cluster_.servers[index].server->setDropSyns(false); });
 }
 
 // Cuts half of the schedulers off from the servers of zone b, and takes their discovery agents down.
@@ -89,10 +90,10 @@
         cluster_.markImpaired(i, durationMs + 1000);
         cluster_.agents[i]->setDown(true);
         for (auto& entry : cluster_.servers)
-            if (entry.server->place().zone == "b") entry.server->cutOff(scheduler, true);
+            if (entry.server->identity().zone == "b") entry.server->setPartitioned(scheduler, true);
         cluster_.reactor.after(durationMs, [this, i, scheduler] {
             cluster_.agents[i]->setDown(false);
-            for (auto& entry : cluster_.servers) entry.server->cutOff(scheduler, false);
+            for (auto& entry : cluster_.servers) entry.server->setPartitioned(scheduler, false);
         });
     }
 }
@@ -125,7 +126,7 @@
 }
 
 void FaultInjector::killProcess(std::size_t i) {
-    if (chance(cluster_.random, 0.5)) cluster_.clients[i]->crowdLeaves();  // at the same time
+    if (chance(cluster_.random, 0.5)) cluster_.clients[i]->closeIdleConnections();  // at the same time
     cluster_.processes[i]->kill();
 }
 
@@ -182,8 +183,8 @@
     const double durationMs = 1000 + 4000 * drawReal(cluster_.random);
     cluster_.logAction("connection flood at n" + std::to_string(i));
     cluster_.markImpaired(i, durationMs + 3000);
-    cluster_.clients[i]->crowd(static_cast<int>(1.6 * static_cast<double>(cluster_.options.settings.sockets)),
-                               durationMs);
+    cluster_.clients[i]->openIdleConnections(
+        static_cast<int>(1.6 * static_cast<double>(cluster_.options.settings.sockets)), durationMs);
     const int followUp = drawBelow(cluster_.random, 4);
     if (followUp == 0)
         cluster_.reactor.after(300, [this, i] {
@@ -231,11 +232,11 @@
         if (fault == 0) cluster_.agents[i]->setDown(true);
         if (fault == 1) cluster_.agents[i]->silenceWatches();
         if (fault == 2) cluster_.agents[i]->resetWatches();
-        if (fault == 3) cluster_.agents[i]->slowDown(true);
+        if (fault == 3) cluster_.agents[i]->setSlow(true);
         if (fault == 0 || fault == 3)
             cluster_.reactor.after(durationMs, [this, i] {
                 cluster_.agents[i]->setDown(false);
-                cluster_.agents[i]->slowDown(false);
+                cluster_.agents[i]->setSlow(false);
             });
     }
     if (fault < 3 && chance(cluster_.random, 0.6)) {
@@ -257,18 +258,20 @@
     const auto i = drawScheduler();
     auto& control = cluster_.processes[i]->control();
     const auto setRate = [&](Fault fault, std::uint32_t permille) {
-        control.permille[static_cast<std::size_t>(fault)].store(permille);
+        control.ratePermille[static_cast<std::size_t>(fault)].store(permille);
     };
     const int kind = drawBelow(cluster_.random, 6);
     cluster_.markImpaired(i, 2500);
     cluster_.logAction("system calls of n" + std::to_string(i) + " fail, fault kind " + std::to_string(kind));
-    if (kind == 0) setRate(Fault::Accept, 300), setRate(Fault::Socket, 200), setRate(Fault::Connect, 200);
+    if (kind == 0)
+        setRate(Fault::AcceptError, 300), setRate(Fault::SocketError, 200), setRate(Fault::ConnectError, 200);
     if (kind == 1)
-        setRate(Fault::ShortRead, 300), setRate(Fault::ShortWrite, 300), setRate(Fault::Interrupt, 300);
-    if (kind == 2) setRate(Fault::BreakRead, 300);
-    if (kind == 3) setRate(Fault::Pause, 60), control.pauseMs.store(150);
-    if (kind == 4) setRate(Fault::SlowDial, 600), control.dialMs.store(240);  // within dial-timeout-ms
-    if (kind == 5) setRate(Fault::SlowDial, 400), control.dialMs.store(1500);
+        setRate(Fault::ShortRead, 300), setRate(Fault::ShortWrite, 300), setRate(Fault::PollInterrupted, 300);
+    if (kind == 2) setRate(Fault::ReadError, 300);
+    if (kind == 3) setRate(Fault::PollDelay, 60), control.pollDelayMs.store(150);
+    if (kind == 4)
+        setRate(Fault::ConnectDelay, 600), control.connectDelayMs.store(240);  // within dial-timeout-ms
+    if (kind == 5) setRate(Fault::ConnectDelay, 400), control.connectDelayMs.store(1500);
     cluster_.reactor.after(400 + 1500 * drawReal(cluster_.random),
                            [this, i] { cluster_.clearSystemCallFaults(i); });
 }
@@ -342,11 +345,11 @@
     const auto i = drawScheduler();
     cluster_.logAction("malformed requests to n" + std::to_string(i) +
                        ", server connections reset or closed");
-    cluster_.clients[i]->malformedBurst(10 + drawBelow(cluster_.random, 30));
+    cluster_.clients[i]->sendMalformedRequests(10 + drawBelow(cluster_.random, 30));
     for (auto& entry : cluster_.servers) {
         if (entry.server->mode() != DiskServer::Mode::Serving) continue;
         if (chance(cluster_.random, 0.3)) entry.server->resetConnections(0.3);
-        if (chance(cluster_.random, 0.5)) entry.server->closeIdle();
+        if (chance(cluster_.random, 0.5)) entry.server->closeIdleConnections();
     }
 }
 
--- a/kit/soak/main.cpp
+++ b/kit/soak/main.cpp
@@ -7,7 +7,7 @@
 #include <fstream>
 #include <string>
 
-#include "kit/soak/limit_play.hpp"
+#include "kit/soak/limit_scenario.hpp"
 #include "kit/soak/soak.hpp"
 
 namespace {
@@ -22,7 +22,7 @@
     out.folder = options.folder + "/seed-" + std::to_string(seed);
     if (fixed) return out;
     out.settings = soak::drawSettings(seed);
-    if (limits) soak::drawLimitPlay(out.settings, seed, out.schedulers);
+    if (limits) soak::drawLimitScenario(out.settings, seed, out.schedulers);
     out.connectionFloods = out.connectionFloods || seed % 3 == 0;
     return out;
 }
--- a/kit/soak/scheduler_process.cpp
+++ b/kit/soak/scheduler_process.cpp
@@ -175,7 +175,7 @@
     if (pid_ <= 0 || ready_ || stopping_) return;
     const auto link = reactor_.dial(ports_.clients);
     auto response = std::make_shared<std::string>();
-    const std::weak_ptr<Link> weak = link;
+    const std::weak_ptr<TcpConnection> weak = link;
     link->onConnected = [weak] {
         if (const auto open = weak.lock())
             open->write("GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
@@ -186,7 +186,7 @@
         ready_ = true;
         recordEvent(EventKind::ProcessReady);
     };
-    link->onEnd = [weak](Link::End) {
+    link->onEnd = [weak](TcpConnection::End) {
         if (const auto open = weak.lock()) open->close();
     };
     reactor_.after(kReadyPollMs, [this, alive = alive_, weak, incarnation = incarnation_] {
--- a/kit/soak/setting.hpp
+++ b/kit/soak/setting.hpp
@@ -35,7 +35,7 @@
     std::string planName() const { return "plan-" + id; }
 };
 
-// Faults injected while busy volumes are at their limits (limit_play.hpp).
+// Faults injected while busy volumes are at their limits (limit_scenario.hpp).
 struct LimitFaults {
     int restartedScheduler = -1;  // the scheduler that is restarted periodically; -1: none
     bool plannedStops = false;    // by SIGTERM instead of SIGKILL
--- a/kit/soak/soak.cpp
+++ b/kit/soak/soak.cpp
@@ -8,7 +8,7 @@
 
 #include "kit/soak/cluster.hpp"
 #include "kit/soak/fault_injector.hpp"
-#include "kit/soak/limit_play.hpp"
+#include "kit/soak/limit_scenario.hpp"
 
 namespace spokewheel::soak {
 namespace {
@@ -52,10 +52,10 @@
     std::signal(SIGPIPE, SIG_IGN);
     Cluster cluster(options);
     FaultInjector faultInjector(cluster);
-    LimitTroubles limitTroubles(cluster);
+    LimitFaultInjector limitFaultInjector(cluster);
     cluster.start();
     cluster.reactor.runUntil(cluster.startedAt + kWarmUpMs);
-    limitTroubles.begin();
+    limitFaultInjector.start();
     const double end = cluster.startedAt + 1000 * options.seconds;
     while (cluster.reactor.now() < end) {
         if (options.injectFaults) faultInjector.injectRandomFaults();
@@ -63,7 +63,7 @@
     }
     cluster.recordUsage();
     cluster.clearFaults();
-    limitTroubles.calm();
+    limitFaultInjector.stop();
     cluster.reactor.runUntil(cluster.reactor.now() + kCooldownMs);
     cluster.stop();
     return resultOf(cluster);
