--- a/kit/soak/soak.cpp
+++ b/kit/soak/soak.cpp
@@ -6,14 +6,14 @@
 #include <sstream>
 #include <utility>
 
-#include "kit/soak/limit_play.hpp"
-#include "kit/soak/troubles.hpp"
-#include "kit/soak/world.hpp"
+#include "kit/soak/cluster.hpp"
+#include "kit/soak/fault_injector.hpp"
+#include "kit/soak/limit_scenario.hpp"
 
 namespace spokewheel::soak {
 namespace {
 
-constexpr double kWarmUpMs = 1500, kSettleAtEndMs = 3500;
+constexpr double kWarmUpMs = 1500, kCooldownMs = 3500;
 
 std::map<std::string, std::uint64_t> countsOf(const std::vector<Event>& events) {
     std::map<std::string, std::uint64_t> counts;
@@ -29,20 +29,20 @@
     return counts;
 }
 
-Result resultOf(World& world) {
+Result resultOf(Cluster& cluster) {
     Result out;
-    out.counts = countsOf(world.events);
-    for (const auto& process : world.processes) {
-        const auto& lines = process->oddLines();
-        out.oddLines.insert(out.oddLines.end(), lines.begin(), lines.end());
+    out.counts = countsOf(cluster.events);
+    for (const auto& process : cluster.processes) {
+        const auto& lines = process->unexpectedLogLines();
+        out.unexpectedLogLines.insert(out.unexpectedLogLines.end(), lines.begin(), lines.end());
         for (const auto& injected : process->control().injected) out.counts["injected"] += injected;
     }
-    for (auto& event : world.events) event.at -= world.beganAt;
-    out.breaches = judge(world.events, termsOf(world.options.setting));
-    out.events = std::move(world.events);
-    out.script = std::move(world.did);
-    out.worstLagMs = world.reactor.worstLagMs();
-    out.usage = world.usage;
+    for (auto& event : cluster.events) event.at -= cluster.startedAt;
+    out.violations = checkRecord(cluster.events, requirementsOf(cluster.options.settings));
+    out.events = std::move(cluster.events);
+    out.actionLog = std::move(cluster.actionLog);
+    out.worstLagMs = cluster.reactor.worstLagMs();
+    out.usage = cluster.usage;
     return out;
 }
 
@@ -50,23 +50,23 @@
 
 Result run(const Options& options) {
     std::signal(SIGPIPE, SIG_IGN);
-    World world(options);
-    Troubles troubles(world);
-    LimitTroubles limitTroubles(world);
-    world.begin();
-    world.reactor.runUntil(world.beganAt + kWarmUpMs);
-    limitTroubles.begin();
-    const double end = world.beganAt + 1000 * options.seconds;
-    while (world.reactor.now() < end) {
-        if (options.troubles) troubles.strike();
-        world.reactor.runUntil(std::min(end, world.reactor.now() + 150 + 650 * drawReal(world.random)));
+    Cluster cluster(options);
+    FaultInjector faultInjector(cluster);
+    LimitFaultInjector limitFaultInjector(cluster);
+    cluster.start();
+    cluster.reactor.runUntil(cluster.startedAt + kWarmUpMs);
+    limitFaultInjector.start();
+    const double end = cluster.startedAt + 1000 * options.seconds;
+    while (cluster.reactor.now() < end) {
+        if (options.injectFaults) faultInjector.injectRandomFaults();
+        cluster.reactor.runUntil(std::min(end, cluster.reactor.now() + 150 + 650 * drawReal(cluster.random)));
     }
-    world.measure();
-    world.calm();
-    limitTroubles.calm();
-    world.reactor.runUntil(world.reactor.now() + kSettleAtEndMs);
-    world.end();
-    return resultOf(world);
+    cluster.recordUsage();
+    cluster.clearFaults();
+    limitFaultInjector.stop();
+    cluster.reactor.runUntil(cluster.reactor.now() + kCooldownMs);
+    cluster.stop();
+    return resultOf(cluster);
 }
 
 std::string recordText(const Result& result) {
@@ -76,16 +76,22 @@
     std::ostringstream out;
     out.setf(std::ios::fixed);
     out.precision(1);
-    for (const auto& e : events) {
-        out << e.at << " " << nameOf(e.kind) << " n" << e.scheduler << "." << e.process;
+    for (const auto& event : events) {
+        out << event.at << " " << nameOf(event.kind) << " n" << event.scheduler << "." << event.process;
         const std::pair<const char*, const std::string*> texts[] = {
-            {"server", &e.server}, {"request", &e.request}, {"class", &e.requestClass}, {"volume", &e.volume},
-            {"key", &e.key},       {"zone", &e.zone},       {"words", &e.words}};
+            {"server", &event.server}, {"request", &event.request}, {"class", &event.requestClass},
+            {"volume", &event.volume}, {"key", &event.key},         {"zone", &event.zone},
+            {"words", &event.detail}};
         for (const auto& [name, text] : texts)
             if (!text->empty()) out << " " << name << "=" << *text;
-        const std::pair<const char*, double> figures[] = {
-            {"connection", e.connection}, {"attempt", e.attempt}, {"status", e.status}, {"units", e.units},
-            {"timeout", e.timeoutMs},     {"read", e.read},       {"cold", e.cold},     {"age", e.ageMs}};
+        const std::pair<const char*, double> figures[] = {{"connection", event.connection},
+                                                          {"attempt", event.attempt},
+                                                          {"status", event.status},
+                                                          {"units", event.units},
+                                                          {"timeout", event.timeoutMs},
+                                                          {"read", event.read},
+                                                          {"cold", event.cold},
+                                                          {"age", event.ageMs}};
         for (const auto& [name, figure] : figures)
             if (figure != 0) out << " " << name << "=" << figure;
         out << "\n";
@@ -96,25 +102,27 @@
 std::string report(const Result& result, const Options& options) {
     std::ostringstream out;
     out << "seed " << options.seed << ", " << options.schedulers << " schedulers, " << options.seconds << " s"
-        << (options.crowds ? ", crowds" : "") << ":";
+        << (options.connectionFloods ? ", connection floods" : "") << ":";
     for (const auto& [name, count] : result.counts) out << " " << name << " " << count << ",";
-    out << " harness late by " << static_cast<int>(result.worstLagMs) << " ms at most\n";
-    out << "  settings: " << options.setting.summary() << "\n";
+    out << " largest delay of the harness " << static_cast<int>(result.worstLagMs) << " ms\n";
+    out << "  settings: " << options.settings.summary() << "\n";
     char usage[96];
     std::snprintf(usage, sizeof usage,
-                  "  mean of the processes: %.2f s of CPU, peak %.1f MB; %zu descriptors\n",
+                  "  mean per process: %.2f s of CPU, peak %.1f MB; at most %zu descriptors\n",
                   result.usage.cpuSeconds, result.usage.peakMb, result.usage.descriptors);
     out << usage;
-    std::map<Rule, int> many;
-    for (const auto& breach : result.breaches)
-        if (++many[breach.rule] <= 5)
-            out << "  BROKEN " << nameOf(breach.rule) << " at " << static_cast<long>(breach.at) << " ms, n"
-                << breach.scheduler << " " << breach.request << ": " << breach.words << "\n";
-    for (const auto& [rule, count] : many) out << "  " << count << " breaches of " << nameOf(rule) << "\n";
-    for (const auto& line : result.oddLines) out << "  log " << line << "\n";
-    if (result.breaches.empty()) out << "  every rule kept\n";
+    std::map<Rule, int> countByRule;
+    for (const auto& violation : result.violations)
+        if (++countByRule[violation.rule] <= 5)
+            out << "  VIOLATION of " << nameOf(violation.rule) << " at " << static_cast<long>(violation.at)
+                << " ms, n" << violation.scheduler << " " << violation.request << ": " << violation.detail
+                << "\n";
+    for (const auto& [rule, count] : countByRule)
+        out << "  " << count << " violations of " << nameOf(rule) << "\n";
+    for (const auto& line : result.unexpectedLogLines) out << "  log " << line << "\n";
+    if (result.violations.empty()) out << "  no rule violated\n";
     else
-        for (const auto& line : result.script) out << "  did " << line << "\n";
+        for (const auto& line : result.actionLog) out << "  action " << line << "\n";
     return out.str();
 }
 
