--- a/cmake/Gateway.cmake
+++ b/cmake/Gateway.cmake
@@ -1,4 +1,4 @@
-# The program around the module. One target a layer: each links only what it may include.
+# The gateway around the scheduler library: one static library per layer, and the programs.
 find_package(PkgConfig REQUIRED)
 pkg_check_modules(GIO REQUIRED IMPORTED_TARGET gio-2.0 gio-unix-2.0)
 pkg_check_modules(XXHASH REQUIRED IMPORTED_TARGET libxxhash)
@@ -9,22 +9,23 @@
 find_package(CLI11 REQUIRED)
 find_package(nlohmann_json REQUIRED)
 
-# A layer sees its own headers, those of the layers it links, and nothing else of src/: each include path is
-# a folder that holds links to just these.
+# spokewheel_layer(NAME DIRS <dir>... SOURCES <file>... [LINKS <target>...]) adds the library sw_NAME. A layer can only
+# include its own headers and those of the layers that it links: its include path is a directory in the build tree with
+# symbolic links to just its DIRS.
 function(spokewheel_layer name)
   cmake_parse_arguments(L "" "" "DIRS;SOURCES;LINKS" ${ARGN})
   add_library(sw_${name} STATIC ${L_SOURCES})
   target_compile_features(sw_${name} PUBLIC cxx_std_20)
-  set(view ${CMAKE_BINARY_DIR}/layers/${name})
-  file(MAKE_DIRECTORY ${view})
+  set(include_dir ${CMAKE_BINARY_DIR}/layers/${name})
+  file(MAKE_DIRECTORY ${include_dir})
   foreach(dir ${L_DIRS})
     get_filename_component(parent ${dir} DIRECTORY)
     string(REGEX REPLACE "^src/?" "" below "${parent}")
-    file(MAKE_DIRECTORY ${view}/${below})
+    file(MAKE_DIRECTORY ${include_dir}/${below})
     get_filename_component(leaf ${dir} NAME)
-    file(CREATE_LINK ${CMAKE_SOURCE_DIR}/${dir} ${view}/${below}/${leaf} SYMBOLIC)
+    file(CREATE_LINK ${CMAKE_SOURCE_DIR}/${dir} ${include_dir}/${below}/${leaf} SYMBOLIC)
   endforeach()
-  target_include_directories(sw_${name} PUBLIC ${view})
+  target_include_directories(sw_${name} PUBLIC ${include_dir})
   target_link_libraries(sw_${name} PUBLIC ${L_LINKS} PRIVATE spokewheel_options)
 endfunction()
 
@@ -55,7 +56,8 @@
   LINKS sw_host sw_catalogue sw_config sw_wire_rsync sw_wire_http)
 spokewheel_layer(daemon DIRS src/daemon SOURCES src/daemon/daemon.cpp
   LINKS sw_fronts sw_nodes sw_registry sw_peers sw_log)
-# The platform's front names neither rsync nor the catalogue: a layer of its own, though its folder lies beside them.
+# A layer of its own, although its directory is below src/fronts: the platform's HTTP front must not include anything of
+# the rsync front or the catalogue.
 spokewheel_layer(fronts_http DIRS src/fronts/http SOURCES src/fronts/http/decode_request.cpp src/fronts/http/server.cpp
   LINKS sw_host sw_wire_http)
 spokewheel_layer(platform DIRS src/platform
@@ -79,7 +81,7 @@
 set_target_properties(spokewheel-cli PROPERTIES OUTPUT_NAME spokewheel)
 spokewheel_program(spokewheel-standin apps/standin.cpp sw_standins)
 
-# The soak: real schedulers under overlapping troubles, judged by their traffic (`make soak`).
+# The soak (`make soak`): runs real schedulers under overlapping faults and judges them by their traffic.
 add_library(spokewheel_faults MODULE kit/soak/fault_shim.cpp)
 target_include_directories(spokewheel_faults PRIVATE ${CMAKE_SOURCE_DIR})
 target_compile_features(spokewheel_faults PRIVATE cxx_std_20)
