--- a/bench/deltas.cpp
+++ b/bench/deltas.cpp
@@ -26,7 +26,7 @@
     {
         Fleet fleet(binDir, (directory / "fleet").string());
         fleet.startNode(0, {});
-        fleet.writeList();
+        fleet.writeNodeList();
         fleet.startHost(0);
         std::mt19937 random(1);
         std::string noise(9000001, '\0'), lines;
--- a/bench/gateway_path.cpp
+++ b/bench/gateway_path.cpp
@@ -70,7 +70,7 @@
 // The targets of the stored objects of a kind ("o/": files, "p/": pieces), from the trace of the only node.
 std::vector<std::string> storedTargets(const Fleet& fleet, const std::string& kind) {
     std::vector<std::string> targets;
-    std::istringstream in(readFile(fleet.traceOf(0)));
+    std::istringstream in(readFile(fleet.tracePath(0)));
     for (std::string line; std::getline(in, line);) {
         const auto at = line.find("\"target\":\"/maps/" + kind);
         if (at == line.npos || line.find("\"execute\",\"method\":\"PUT\"") == line.npos) continue;
@@ -83,7 +83,7 @@
                   int files, int clients, int readsPerClient) {
     Fleet fleet(binDir, work + "/fleet");
     fleet.startNode(0);
-    fleet.writeList();
+    fleet.writeNodeList();
     HostOptions options;
     options.volumes = "\n  - {name: maps, number: 1, plan: open}\n";
     options.logLevel = "info";
@@ -138,7 +138,7 @@
 void compareTree(const std::string& binDir, const std::string& work) {
     Fleet fleet(binDir, work + "/fleet");
     for (int n = 0; n < 3; ++n) fleet.startNode(n, {n, {}});
-    fleet.writeList();
+    fleet.writeNodeList();
     fleet.startHost(0);
     for (int i = 0; i < 10000; ++i) {
         const auto dir = work + "/up/d" + std::to_string(i / 100);
--- a/bench/hostile.cpp
+++ b/bench/hostile.cpp
@@ -102,7 +102,7 @@
     {
         Fleet fleet(binDir, (directory / "fleet").string());
         fleet.startNode(0, {});
-        fleet.writeList();
+        fleet.writeNodeList();
         fleet.startHost(0);
         for (int i = 0; i < 200; ++i) {
             fs::create_directories(directory / "up");
